--- a/crates/core/src/traffic/admit.rs
+++ b/crates/core/src/traffic/admit.rs
@@ -29,32 +29,32 @@
 impl super::Core {
     pub(super) fn on_request(&mut self, request: event::Request) {
         if self.view.stamp == view::Stamp::default() {
-            self.refuse(&request, event::Code::Starting, Some(START_AFTER), why::Why::Plain);
+            self.refuse(&request, event::Code::Starting, Some(START_AFTER), why::Why::CodeOnly);
             return;
         }
         let view = Arc::clone(&self.view);
         let Some((selector, _, class)) = view.classes.get_full(&request.class) else {
-            self.refuse(&request, event::Code::UnknownClass, None, why::Why::Plain);
+            self.refuse(&request, event::Code::UnknownClass, None, why::Why::CodeOnly);
             return;
         };
         let trial = match self.hold(&request) {
             suspect::Hold::None => query::Trial::None,
             suspect::Hold::Granted => query::Trial::Granted,
-            suspect::Hold::Open => query::Trial::Asked,
-            suspect::Hold::Closed { fingerprint, left } => {
-                let why = why::Why::Crashes { fingerprint, left };
+            suspect::Hold::Open => query::Trial::Requested,
+            suspect::Hold::Closed { fingerprint, retry_after: left } => {
+                let why = why::Why::Crashes { fingerprint, retry_after: left };
                 self.refuse(&request, event::Code::CrashesServers, Some(left), why);
                 return;
             }
         };
         let patience = request.patience.unwrap_or(class.deadline).min(class.deadline);
         if patience <= self.policy.margin {
-            self.refuse(&request, event::Code::DeadlinePassed, None, why::Why::Late { patience });
+            self.refuse(&request, event::Code::DeadlinePassed, None, why::Why::ShortTimeout { timeout: patience });
             return;
         }
         let row = self.class_row(&request.class);
         let branch = self.pick_branch(row, class);
-        let is_passed_on = request.relayed.is_none() && self.may_pass_on(class);
+        let is_passed_on = request.relayed.is_none() && self.may_forward(class);
         if !is_passed_on && !self.is_reachable(class, branch) {
             let why = self.closed(class, branch);
             self.refuse(&request, event::Code::NoReplica, Some(NO_REPLICA_AFTER), why);
@@ -76,7 +76,7 @@
             None => class.aim.map(|aim| self.now + self.time_to_aim(row, aim, request.patience)),
         };
         if let Some(settle_at) = settle_at.filter(|_| !is_passed_on)
-            && let Some((retry_after, why)) = self.lacks_room(row, class, branch, settle_at.since(self.now))
+            && let Some((retry_after, why)) = self.capacity_refusal(row, class, branch, settle_at.since(self.now))
         {
             self.refuse(&request, event::Code::Overloaded, Some(retry_after), why);
             return;
@@ -84,13 +84,13 @@
         if !idempotent {
             match self.claim(&request) {
                 key::Claim::Granted => {}
-                key::Claim::Known => {
+                key::Claim::Duplicate => {
                     self.refuse_duplicate(&request);
                     return;
                 }
                 key::Claim::Full => {
                     let retry_after = self.policy.key_window;
-                    self.refuse(&request, event::Code::Overloaded, Some(retry_after), why::Why::Plain);
+                    self.refuse(&request, event::Code::Overloaded, Some(retry_after), why::Why::CodeOnly);
                     return;
                 }
             }
@@ -115,7 +115,7 @@
         let Some(patience) = patience else {
             return aim - self.policy.aim_margin;
         };
-        let most = self.classes[row].patience.most(self.now, patience);
+        let most = self.classes[row].timeouts.record(self.now, patience);
         aim - self.policy.aim_margin - most.since(patience)
     }
 
@@ -135,11 +135,11 @@
             view: Arc::clone(&self.view),
             selector: place.selector,
             branch: place.branch,
-            is_passed_on: place.is_passed_on,
+            is_forwarded: place.is_passed_on,
             via: None,
             key: request.key,
             fingerprint: request.fingerprint,
-            evidence: trial.unwrap_or_else(|| self.random.random()),
+            caller_attempt: trial.unwrap_or_else(|| self.random.random()),
             trial: place.trial,
             is_canary: false,
             arrived: self.now,
@@ -147,22 +147,22 @@
             started: None,
             settle_at,
             failure: None,
-            parts: Vec::new(),
+            shards: Vec::new(),
             groups: Vec::new(),
             want: None,
-            failed: 0,
+            failed_shards: 0,
             is_placing: false,
             pending_hint: 0,
             may_have_run: false,
-            last: None,
+            last_answer: None,
             restarts: 0,
-            saw_epoch: None,
+            seen_epoch: None,
             cost: event::Cost::default(),
         }));
         self.callers.insert(caller, query);
         self.timers.push(deadline, Timer::Deadline(query));
-        if place.trial == query::Trial::Asked {
-            self.ask_trial(query);
+        if place.trial == query::Trial::Requested {
+            self.request_trial(query);
             return;
         }
         self.classes[class].queue.push_back(query);
@@ -176,7 +176,7 @@
         for target in targets {
             let can_serve = |&id: &id::Server| {
                 let state = &self.servers[id.index()];
-                self.is_open(id) && state.share > 0 && !state.is_barred(self.now)
+                self.is_open(id) && state.share > 0 && !state.is_blocked(self.now)
             };
             open += usize::from(target.replicas.iter().any(can_serve));
         }
@@ -196,7 +196,7 @@
                     Some(server) if server.leaving => "is leaving",
                     Some(server) if server.evacuated => "is in an evacuated data centre",
                     Some(_) if state.is_replaced => "is another one now",
-                    Some(_) if state.is_barred(self.now) => "warms up and gets nothing from this host",
+                    Some(_) if state.is_blocked(self.now) => "warms up and gets nothing from this host",
                     Some(_) if state.share == 0 => "has no connection for this host",
                     Some(_) => continue,
                 };
@@ -210,7 +210,7 @@
     }
 
     fn paused(&self) -> why::Why {
-        why::Why::Paused { ago: self.paused_at.map_or(clock::Millis::ZERO, |at| self.now.since(at)) }
+        why::Why::Paused { since_resume: self.paused_at.map_or(clock::Millis::ZERO, |at| self.now.since(at)) }
     }
 
     fn class_row(&mut self, name: &CompactString) -> usize {
@@ -224,19 +224,19 @@
     /// Why the class could not serve one more request within `patience`, if it could not.
     fn overload(&self, row: usize, patience: clock::Millis) -> Option<why::Why> {
         let class = &self.classes[row];
-        if class.queue.is_empty() && class.has_room(&self.policy) {
+        if class.queue.is_empty() && class.has_capacity(&self.policy) {
             return None;
         }
         let is_full = class.queue.len() >= self.policy.queue_ceiling as usize;
         let wait = class.expected_wait();
         let is_long = wait > patience.scale(self.policy.queue_share.get());
-        let run = class.slow_run();
+        let run = class.p90_run_time();
         if !is_full && !is_long && wait + run + self.policy.margin < patience {
             return None;
         }
         let (running, waiting) = (class.running, class.queue.len());
         let limit = if self.policy.adaptive_admission { class.limit() } else { self.policy.running_ceiling };
-        Some(why::Why::Queue { running, limit, waiting, wait, run, patience })
+        Some(why::Why::Queue { running, limit, waiting, wait, run, timeout: patience })
     }
 
     fn claim(&mut self, request: &event::Request) -> key::Claim {
@@ -257,7 +257,7 @@
     }
 
     pub(super) fn admit_class(&mut self, class: usize) {
-        while !self.is_holding && self.classes[class].has_room(&self.policy) {
+        while !self.is_holding && self.classes[class].has_capacity(&self.policy) {
             let Some(query) = self.classes[class].queue.pop_front() else {
                 return;
             };
@@ -278,10 +278,10 @@
         // outage in which runs took as long as the deadline nothing would ever run again, and the
         // class would never learn that its servers are well.
         let has_waited = row.arrived < now;
-        if has_waited && row.deadline <= now + self.classes[class].typical_run() {
+        if has_waited && row.deadline <= now + self.classes[class].median_run_time() {
             let retry_after = self.classes[class].retry_after();
             let (wait, left) = (now.since(row.arrived), row.deadline.since(now));
-            let why = why::Why::Waited { wait, run: self.classes[class].typical_run(), left };
+            let why = why::Why::Waited { wait, run: self.classes[class].median_run_time(), remaining: left };
             self.finish_because(query, event::Code::Overloaded, Some(retry_after), why);
             return;
         }
@@ -312,10 +312,10 @@
         row.branch = row.branch.min(class.branches.len().saturating_sub(1));
         row.started.get_or_insert(now);
         let parts = row.targets().len();
-        row.parts = vec![query::Part::default(); parts];
+        row.shards = vec![query::Shard::default(); parts];
         row.groups.clear();
-        row.failed = 0;
-        row.last = None;
+        row.failed_shards = 0;
+        row.last_answer = None;
         row.want = None;
         row.is_placing = true;
         let count = parts as u64;
@@ -323,7 +323,7 @@
         if let Some(settle) = class.settle {
             row.settle_at = Some(now + settle);
         }
-        let is_passed_on = row.is_passed_on;
+        let is_passed_on = row.is_forwarded;
         if let Some(settle_at) = row.settle_at.filter(|_| !is_passed_on) {
             self.timers.push(settle_at.max(now), Timer::Settle(query));
         }
@@ -349,7 +349,7 @@
 
     /// Asks the shards of a query from the one at `first` on.
     pub(super) fn place_from(&mut self, query: id::Query, first: u32) {
-        let count = self.queries.get(query.0).map_or(0, |row| row.parts.len()) as u32;
+        let count = self.queries.get(query.0).map_or(0, |row| row.shards.len()) as u32;
         for part in first..count {
             self.place(query, part, query::Kind::First);
             if self.queries.get(query.0).is_none() {
@@ -388,7 +388,7 @@
     /// The request itself was not run, but the one before it with this key was or may have been,
     /// so the caller must not conclude that nothing ran.
     fn refuse_duplicate(&mut self, request: &event::Request) {
-        self.refuse_with(request, event::Code::DuplicateKey, event::Outcome::Unknown, None, why::Why::Plain);
+        self.refuse_with(request, event::Code::DuplicateKey, event::Outcome::Unknown, None, why::Why::CodeOnly);
     }
 
     fn refuse_with(
--- a/crates/core/src/traffic/choose.rs
+++ b/crates/core/src/traffic/choose.rs
@@ -1,8 +1,8 @@
-//! Which replica gets an attempt.
+//! Replica selection for attempts.
 //!
-//! Replicas are put into ranks by what would make an attempt there useless, and only among equals
-//! does the expected time decide. Small differences of it are noise: all that follow them go to one
-//! server, so inside a band chance decides.
+//! Replicas are first ranked by the conditions that would make an attempt there useless; expected latency only
+//! decides between replicas of equal rank. Small latency differences are noise, and following them would send
+//! all traffic to one server, so the choice within a band is random.
 
 use std::sync::Arc;
 
@@ -12,37 +12,38 @@
 
 use super::query;
 
-/// How long queries pick a snapshot before they start after replies were mixed.
-const ROLLING: clock::Millis = clock::Millis(10_000);
+/// How long after mixed replies queries still pick a snapshot before they start.
+const ROLLOUT_WINDOW: clock::Millis = clock::Millis(10_000);
 
 impl super::Core {
-    /// The replica for a shard: open, not tried yet, in use, preferably with the wanted snapshot;
-    /// of two random ones that qualify, the one that should answer sooner.
-    pub(super) fn choose(&mut self, query: id::Query, part: u32) -> Option<id::Server> {
+    /// Selects an open replica for a shard. Prefers replicas that are untried, available and hold the wanted
+    /// snapshot; of two random ones of equal rank, takes the one with the lower expected latency. Returns
+    /// `None` if none is eligible.
+    pub(super) fn choose(&mut self, query: id::Query, shard_index: u32) -> Option<id::Server> {
         let row = self.queries.get(query.0)?;
         let view = Arc::clone(&row.view);
         let class = &view.classes[row.selector];
-        let state = row.parts[part as usize];
+        let state = row.shards[shard_index as usize];
         let want = row.want;
-        let replicas = &row.target(part).replicas;
+        let replicas = &row.target(shard_index).replicas;
         if !class.idempotent && row.key.is_some() {
-            return self.choose_by_key(query, part);
+            return self.choose_by_key(query, shard_index);
         }
-        let may_try_more = class.servers_most.is_none_or(|most| state.servers() < usize::from(most));
+        let may_try_more = class.servers_most.is_none_or(|most| state.reached_servers() < usize::from(most));
         let mut best: Option<(u8, view::Distance, u32, id::Server)> = None;
         let mut second: Option<(u8, view::Distance, u32, id::Server)> = None;
         for &id in replicas {
             let may_send = self.is_open(id) && self.servers[id.index()].warm_up.may_send(self.now);
-            if !may_send || !self.is_home(&class.name, id) || !may_try_more && !state.was_tried(id) {
+            if !may_send || !self.is_in_home_region(&class.name, id) || !may_try_more && !state.was_tried(id) {
                 continue;
             }
             let rank = self.rank(id, &state, want);
             let candidate = (rank, self.distance(id), self.random.random::<u32>(), id);
-            if best.is_none_or(|held| candidate < held) {
+            if best.is_none_or(|current| candidate < current) {
                 second = best.replace(candidate);
                 continue;
             }
-            if second.is_none_or(|held| candidate < held) {
+            if second.is_none_or(|current| candidate < current) {
                 second = Some(candidate);
             }
         }
@@ -61,7 +62,8 @@
         self.view.server(id).map_or(view::Distance::Far, |server| server.distance)
     }
 
-    /// What an attempt at `id` is expected to cost: its time, and more if its bytes leave the data centre.
+    /// Expected cost of an attempt at `id`: its latency, weighted by `far_cost` if the reply crosses data
+    /// centres.
     fn score(&self, id: id::Server) -> f64 {
         let score = self.servers[id.index()].score(self.now, self.policy.reported_load_weight);
         match self.distance(id) {
@@ -70,31 +72,31 @@
         }
     }
 
-    /// Smaller is better. Classes of replicas are kept apart so that load decides only among equals.
-    fn rank(&self, id: id::Server, part: &query::Part, want: Option<view::Snapshot>) -> u8 {
+    /// Rank of a replica; lower is better. Ranks are kept apart so that load only decides between equals.
+    fn rank(&self, id: id::Server, shard: &query::Shard, want: Option<view::Snapshot>) -> u8 {
         let state = &self.servers[id.index()];
-        let was_tried = part.was_tried(id);
-        let is_out = state.is_ejected(self.now) && self.policy.ejection || state.is_silent(self.now);
-        let lacks = want.is_some_and(|want| state.holds[0].is_some() && !state.holds(want));
-        let is_full = state.share == 0;
-        let is_last = self.distance(id) == view::Distance::Last;
-        let has_no_room = self.policy.prefer_room && !state.has_room(self.now);
+        let was_tried = shard.was_tried(id);
+        let is_avoided = state.is_ejected(self.now) && self.policy.ejection || state.is_silent(self.now);
+        let lacks_snapshot = want.is_some_and(|want| state.snapshots[0].is_some() && !state.has_snapshot(want));
+        let has_no_share = state.share == 0;
+        let is_last_resort = self.distance(id) == view::Distance::Last;
+        let has_no_capacity = self.policy.prefer_room && !state.has_capacity(self.now);
         let is_cold = state.warm_up.is_cold(self.now);
         u8::from(was_tried) * 64
-            + u8::from(is_full) * 32
-            + u8::from(is_out) * 16
-            + u8::from(is_last) * 8
-            + u8::from(lacks) * 4
-            + u8::from(has_no_room) * 2
+            + u8::from(has_no_share) * 32
+            + u8::from(is_avoided) * 16
+            + u8::from(is_last_resort) * 8
+            + u8::from(lacks_snapshot) * 4
+            + u8::from(has_no_capacity) * 2
             + u8::from(is_cold)
     }
 
-    /// The replica that owns the request key on every host that has the same view, so that the
-    /// server can refuse a duplicate that came through another host.
-    fn choose_by_key(&self, query: id::Query, part: u32) -> Option<id::Server> {
+    /// Returns the replica that owns the request key on every host with the same view, so that the server can
+    /// refuse a duplicate that arrived through another host.
+    fn choose_by_key(&self, query: id::Query, shard_index: u32) -> Option<id::Server> {
         let row = self.queries.get(query.0)?;
         let key = row.key.as_ref()?;
-        let target = row.target(part);
+        let target = row.target(shard_index);
         let mut best: Option<(u64, id::Server)> = None;
         for &id in &target.replicas {
             let Some(published) = self.view.server(id) else {
@@ -104,14 +106,14 @@
                 continue;
             }
             let candidate = (rendezvous::weight(key, &published.name), id);
-            if best.is_none_or(|held| candidate > held) {
+            if best.is_none_or(|current| candidate > current) {
                 best = Some(candidate);
             }
         }
         best.map(|(_, id)| id)
     }
 
-    /// Whether new work may go to `id` by the view in force, which may be newer than the query's.
+    /// Whether new work may go to `id` under the current view, which may be newer than the query's.
     pub(super) fn is_open(&self, id: id::Server) -> bool {
         if mutant::is(mutant::Mutant::ChooseLeaving) {
             return self.view.server(id).is_some();
@@ -119,51 +121,51 @@
         self.view.is_open(id) && !self.servers[id.index()].is_replaced
     }
 
-    /// Whether requests of `class` may go to `id` by the view in force. Operators may have changed their homes since
-    /// a query began, and what waits in a queue was chosen by the view before.
-    pub(super) fn is_home(&self, class: &str, id: id::Server) -> bool {
+    /// Whether requests of `class` may go to `id` under the current view. Operators may have changed the
+    /// class's home regions since the query began, and queued work was placed under the previous view.
+    pub(super) fn is_in_home_region(&self, class: &str, id: id::Server) -> bool {
         let Some(class) = self.view.classes.get(class).filter(|class| !class.homes.is_empty()) else {
             return true;
         };
         self.view.server(id).is_some_and(|server| class.may_go_to(&server.region))
     }
 
-    /// While versions roll, starts a query with the snapshot that most shards can give.
+    /// During a snapshot rollout, fixes the query's snapshot at the start to the one available on most shards.
     pub(super) fn pick_snapshot(&mut self, query: id::Query) {
         let Some(row) = self.queries.get(query.0) else {
             return;
         };
-        if self.classes[row.class].rolling_until < self.now {
+        if self.classes[row.class].rollout_until < self.now {
             return;
         }
         let epoch = row.selector().epoch;
-        let mut reach: Vec<(view::Snapshot, usize)> = Vec::new();
+        let mut counts: Vec<(view::Snapshot, usize)> = Vec::new();
         for target in row.targets() {
-            let mut seen: Vec<view::Snapshot> = Vec::new();
+            let mut available: Vec<view::Snapshot> = Vec::new();
             for &id in &target.replicas {
                 if !self.is_open(id) {
                     continue;
                 }
-                let held = self.servers[id.index()].holds;
-                seen.extend(held.iter().flatten().filter(|snapshot| snapshot.epoch == epoch));
+                let snapshots = self.servers[id.index()].snapshots;
+                available.extend(snapshots.iter().flatten().filter(|snapshot| snapshot.epoch == epoch));
             }
-            seen.sort_unstable();
-            seen.dedup();
-            for snapshot in seen {
-                match reach.iter_mut().find(|(other, _)| *other == snapshot) {
+            available.sort_unstable();
+            available.dedup();
+            for snapshot in available {
+                match counts.iter_mut().find(|(other, _)| *other == snapshot) {
                     Some((_, shards)) => *shards += 1,
-                    None => reach.push((snapshot, 1)),
+                    None => counts.push((snapshot, 1)),
                 }
             }
         }
-        let want = reach.into_iter().max_by_key(|&(snapshot, shards)| (shards, snapshot));
+        let want = counts.into_iter().max_by_key(|&(snapshot, shards)| (shards, snapshot));
         if let Some(row) = self.queries.get_mut(query.0) {
             row.want = want.map(|(snapshot, _)| snapshot);
         }
     }
 
-    /// Replies are mixed: queries to come pick their snapshot before they start.
-    pub(super) fn note_rolling(&mut self, class: usize) {
-        self.classes[class].rolling_until = self.now + ROLLING;
+    /// Records mixed replies: for a while, new queries of the class pick their snapshot before they start.
+    pub(super) fn record_rollout(&mut self, class: usize) {
+        self.classes[class].rollout_until = self.now + ROLLOUT_WINDOW;
     }
 }
--- a/crates/core/src/traffic/class.rs
+++ b/crates/core/src/traffic/class.rs
@@ -1,9 +1,9 @@
-//! Admission by class: how many queries run at once, and which are refused at once.
+//! Admission by class: the concurrency limit, the queue, and which requests are refused on arrival.
 //!
-//! Additive increase, multiplicative decrease on the time that queries take: while runs stay inside
-//! the latency target the limit grows by one a round; a run that exceeds it, or ends without an
-//! answer, cuts the limit, at most once a round. A request that could not be served in time is
-//! refused when it comes, with the time after which the queue will have drained.
+//! The limit follows additive increase, multiplicative decrease on the run time of queries: it grows by one a
+//! round while runs stay within the latency target, and is cut at most once a round when a run exceeds the
+//! target or ends without an answer. A request that could not be answered in time is refused on arrival, with
+//! the time after which the queue will have drained.
 
 use std::collections::VecDeque;
 
@@ -13,66 +13,66 @@
 
 use super::policy;
 
-const START_LIMIT: f64 = 16.0;
-const CUT: f64 = 0.8;
-const LEAST_LIMIT: f64 = 1.0;
+const INITIAL_LIMIT: f64 = 16.0;
+const DECREASE_FACTOR: f64 = 0.8;
+const MIN_LIMIT: f64 = 1.0;
 const INTERVAL_WEIGHT: f64 = 0.05;
-/// What an attempt takes before there is a sample.
-const ATTEMPT_PRIOR: clock::Millis = clock::Millis(10);
-/// Shortest time between two cuts.
-const CUT_PAUSE: clock::Millis = clock::Millis(50);
-/// Shortest time to come back that is ever named.
-const RETRY_AFTER_LEAST: clock::Millis = clock::Millis(20);
-/// Longest, so that a caller notices the end of an overload.
-const RETRY_AFTER_MOST: clock::Millis = clock::Millis(2000);
-
-/// How long the most patience of callers is remembered at least; then a change to less is noticed.
-const PATIENCE_SPAN: clock::Millis = clock::Millis(10_000);
-
-/// The most patience that callers of a class had lately, in two spans of time.
+/// Assumed attempt time before there is a sample.
+const DEFAULT_ATTEMPT_TIME: clock::Millis = clock::Millis(10);
+/// Minimum time between two decreases of the limit.
+const MIN_DECREASE_INTERVAL: clock::Millis = clock::Millis(50);
+/// Lower bound of the retry-after sent to callers.
+const RETRY_AFTER_MIN: clock::Millis = clock::Millis(20);
+/// Upper bound of the retry-after, so that callers notice the end of an overload.
+const RETRY_AFTER_MAX: clock::Millis = clock::Millis(2000);
+
+/// Minimum time for which the longest timeout is remembered; a lower maximum shows after that.
+const TIMEOUT_WINDOW: clock::Millis = clock::Millis(10_000);
+
+/// The longest recent timeout of a class's callers, over two consecutive windows.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Patience {
-    most: [clock::Millis; 2],
+pub(crate) struct Timeouts {
+    max: [clock::Millis; 2],
     since: clock::Millis,
 }
 
-impl Patience {
-    /// Records a caller's patience and returns the most.
-    pub(crate) fn most(&mut self, now: clock::Millis, patience: clock::Millis) -> clock::Millis {
-        if now.since(self.since) >= PATIENCE_SPAN {
-            self.most = [clock::Millis::ZERO, self.most[0]];
+impl Timeouts {
+    /// Records a caller's timeout and returns the longest one of both windows.
+    pub(crate) fn record(&mut self, now: clock::Millis, timeout: clock::Millis) -> clock::Millis {
+        if now.since(self.since) >= TIMEOUT_WINDOW {
+            self.max = [clock::Millis::ZERO, self.max[0]];
             self.since = now;
         }
-        self.most[0] = self.most[0].max(patience);
-        self.most[0].max(self.most[1])
+        self.max[0] = self.max[0].max(timeout);
+        self.max[0].max(self.max[1])
     }
 }
 
-/// One row of the table of classes.
+/// A row of the class table.
 #[derive(Debug)]
 pub(crate) struct Class {
     pub(crate) name: CompactString,
     pub(crate) running: u32,
     pub(crate) queue: VecDeque<id::Query>,
     /// Time from a query's start to its end.
-    pub(crate) runs: window::Window,
-    /// Time from an attempt's dispatch to its answer.
-    pub(crate) attempts: window::Window,
-    /// Time from passing a request on to its answer.
-    pub(crate) relays: window::Window,
+    pub(crate) run_times: window::Window,
+    /// Time from an attempt's dispatch to its reply.
+    pub(crate) attempt_times: window::Window,
+    /// Time from forwarding a request to another host to its reply.
+    pub(crate) relay_times: window::Window,
     pub(crate) hedges: budget::Bucket,
     pub(crate) retries: budget::Bucket,
-    /// Until when queries pick a snapshot before they start, because replies were mixed.
-    pub(crate) rolling_until: clock::Millis,
-    /// Distributes requests over the class's alternatives.
+    /// Queries pick a snapshot before they start until this time, because replies were mixed.
+    pub(crate) rollout_until: clock::Millis,
+    /// Distributes requests over the class's branches.
     pub(crate) split: route::Split,
-    /// The most patience that callers have.
-    pub(crate) patience: Patience,
+    /// The longest recent timeout of callers.
+    pub(crate) timeouts: Timeouts,
     limit: f64,
-    cut_at: clock::Millis,
-    ended_at: clock::Millis,
+    decreased_at: clock::Millis,
+    last_end: clock::Millis,
     /// Moving average of the time between two ends of runs, in ms.
-    interval: f64,
+    end_interval: f64,
 }
 
 impl Class {
@@ -81,18 +81,18 @@
             name,
             running: 0,
             queue: VecDeque::new(),
-            runs: window::Window::default(),
-            attempts: window::Window::default(),
-            relays: window::Window::default(),
+            run_times: window::Window::default(),
+            attempt_times: window::Window::default(),
+            relay_times: window::Window::default(),
             hedges: budget::Bucket::new(policy.hedge_fraction, policy.burst),
             retries: budget::Bucket::new(policy.retry_fraction, policy.burst),
-            rolling_until: clock::Millis::ZERO,
+            rollout_until: clock::Millis::ZERO,
             split: route::Split::default(),
-            patience: Patience::default(),
-            limit: START_LIMIT,
-            cut_at: clock::Millis::ZERO,
-            ended_at: clock::Millis::ZERO,
-            interval: 1.0,
+            timeouts: Timeouts::default(),
+            limit: INITIAL_LIMIT,
+            decreased_at: clock::Millis::ZERO,
+            last_end: clock::Millis::ZERO,
+            end_interval: 1.0,
         }
     }
 
@@ -100,66 +100,67 @@
         self.limit as u32
     }
 
-    pub(crate) fn has_room(&self, policy: &policy::Policy) -> bool {
+    pub(crate) fn has_capacity(&self, policy: &policy::Policy) -> bool {
         let limit = if policy.adaptive_admission { self.limit() } else { policy.running_ceiling };
         self.running < limit
     }
 
-    /// What an attempt usually takes at a backend server, or at another host.
-    pub(crate) fn usual_attempt(&self, is_relay: bool) -> clock::Millis {
-        let window = if is_relay { &self.relays } else { &self.attempts };
-        window.quantile(0.5).unwrap_or(ATTEMPT_PRIOR)
+    /// Median time of an attempt at a backend server, or at another host if `is_relay`.
+    pub(crate) fn median_attempt_time(&self, is_relay: bool) -> clock::Millis {
+        let window = if is_relay { &self.relay_times } else { &self.attempt_times };
+        window.quantile(0.5).unwrap_or(DEFAULT_ATTEMPT_TIME)
     }
 
-    /// Time in which most attempts end.
-    pub(crate) fn slow_attempt(&self) -> clock::Millis {
-        self.attempts.quantile(0.8).unwrap_or(ATTEMPT_PRIOR)
+    /// 80th percentile of attempt times.
+    pub(crate) fn p80_attempt_time(&self) -> clock::Millis {
+        self.attempt_times.quantile(0.8).unwrap_or(DEFAULT_ATTEMPT_TIME)
     }
 
-    /// Typical time of a run.
-    pub(crate) fn typical_run(&self) -> clock::Millis {
-        self.runs.quantile(0.5).unwrap_or(clock::Millis(1))
+    /// Median run time.
+    pub(crate) fn median_run_time(&self) -> clock::Millis {
+        self.run_times.quantile(0.5).unwrap_or(clock::Millis(1))
     }
 
-    /// Time in which most runs end.
-    pub(crate) fn slow_run(&self) -> clock::Millis {
-        self.runs.quantile(0.9).unwrap_or(clock::Millis(1))
+    /// 90th percentile of run times.
+    pub(crate) fn p90_run_time(&self) -> clock::Millis {
+        self.run_times.quantile(0.9).unwrap_or(clock::Millis(1))
     }
 
     /// Expected wait of a query that joins the queue now.
     pub(crate) fn expected_wait(&self) -> clock::Millis {
-        clock::Millis(((self.queue.len() + 1) as f64 * self.interval).ceil() as u64)
+        clock::Millis(((self.queue.len() + 1) as f64 * self.end_interval).ceil() as u64)
     }
 
-    /// When a refused caller should come back.
+    /// Retry-after for a refused caller.
     pub(crate) fn retry_after(&self) -> clock::Millis {
-        let drained = self.expected_wait() + self.typical_run();
-        drained.clamp(RETRY_AFTER_LEAST, RETRY_AFTER_MOST)
+        let drain_time = self.expected_wait() + self.median_run_time();
+        drain_time.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 
-    /// A run ended after `took`, inside its target or not.
-    pub(crate) fn on_end(&mut self, now: clock::Millis, took: clock::Millis, is_good: bool, ceiling: u32) {
+    /// Records the end of a run that took `took` and adjusts the limit, up to `ceiling`.
+    pub(crate) fn on_run_end(&mut self, now: clock::Millis, took: clock::Millis, has_met_target: bool, ceiling: u32) {
         self.observe_interval(now);
-        self.runs.record(took);
-        if is_good {
+        self.run_times.record(took);
+        if has_met_target {
             if f64::from(self.running) + 1.0 >= self.limit * 0.8 {
                 self.limit = (self.limit + 1.0 / self.limit).min(f64::from(ceiling));
             }
             return;
         }
-        if now.since(self.cut_at) < CUT_PAUSE.max(took) {
+        if now.since(self.decreased_at) < MIN_DECREASE_INTERVAL.max(took) {
             return;
         }
-        self.cut_at = now;
-        self.limit = (self.limit * CUT).max(LEAST_LIMIT);
+        self.decreased_at = now;
+        self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
-    /// Only ends while others wait tell the service rate; an idle class ends seldom.
+    /// Samples the interval only while queries are queued: an idle class ends runs too rarely to show its
+    /// service rate.
     fn observe_interval(&mut self, now: clock::Millis) {
-        let gap = now.since(self.ended_at).0 as f64;
-        self.ended_at = now;
+        let gap = now.since(self.last_end).0 as f64;
+        self.last_end = now;
         if !self.queue.is_empty() {
-            self.interval += INTERVAL_WEIGHT * (gap - self.interval);
+            self.end_interval += INTERVAL_WEIGHT * (gap - self.end_interval);
         }
     }
 }
--- a/crates/core/src/traffic/dispatch.rs
+++ b/crates/core/src/traffic/dispatch.rs
@@ -33,17 +33,17 @@
 
     /// Whether an attempt may be sent to `server` now.
     pub(super) fn has_room(&self, server: id::Server) -> bool {
-        !self.is_holding && self.servers[server.index()].has_room(self.now)
+        !self.is_holding && self.servers[server.index()].has_capacity(self.now)
     }
 
     fn wait_at(&mut self, query: id::Query, part: u32, server: id::Server) {
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        row.parts[part as usize].is_waiting = true;
+        row.shards[part as usize].is_waiting = true;
         let priority = usize::from(row.selector().priority).min(view::Class::PRIORITIES - 1);
         let state = &mut self.servers[server.index()];
-        state.waiting[priority].push_back(server::Wait { query, part });
+        state.waiting[priority].push_back(server::Wait { query, shard_index: part });
         if state.inflight == 0 {
             self.timers.push(state.ready_at(self.now).max(self.now + clock::Millis(1)), Timer::Pump(server));
         }
@@ -51,7 +51,7 @@
 
     pub(super) fn send(&mut self, query: id::Query, part: u32, server: id::Server, kind: query::Kind) {
         let now = self.now;
-        if self.ends_barred(query) {
+        if self.finish_if_blocked(query) {
             return;
         }
         let Some(published) = self.view.server(server) else {
@@ -61,16 +61,24 @@
         let name = published.name.clone();
         let address = published.address.clone();
         let (is_leaving, is_evacuated) = (published.leaving, published.evacuated);
-        let relayed = self.queries.get(query.0).and_then(|row| self.relayed(row));
+        let relayed = self.queries.get(query.0).and_then(|row| self.relay_params(row));
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
         let class = row.class;
         let view = Arc::clone(&row.view);
         let selector = &view.classes[row.selector];
-        let is_paid = std::mem::take(&mut row.parts[part as usize].is_paid);
-        let attempt =
-            query::Attempt { query, part, server, sent: now, kind, class, is_paid, is_relay: relayed.is_some() };
+        let is_paid = std::mem::take(&mut row.shards[part as usize].is_paid);
+        let attempt = query::Attempt {
+            query,
+            shard_index: part,
+            server,
+            sent: now,
+            kind,
+            class,
+            is_paid,
+            is_relay: relayed.is_some(),
+        };
         let attempt = id::Attempt(self.attempts.insert(attempt));
         if kind == query::Kind::Retry {
             self.note_extra(query, part, server, note::Cause::Failure);
@@ -78,9 +86,9 @@
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
+        let state = &mut row.shards[part as usize];
         state.is_waiting = false;
-        state.note_tried(server);
+        state.record_tried(server);
         state.add_live(attempt);
         match kind {
             query::Kind::First => row.cost.first += 1,
@@ -155,7 +163,7 @@
 
     /// Sends what waits at a server while it has room.
     pub(super) fn pump(&mut self, server: id::Server) {
-        if !self.is_open(server) || self.servers[server.index()].is_barred(self.now) {
+        if !self.is_open(server) || self.servers[server.index()].is_blocked(self.now) {
             self.requeue(server);
             return;
         }
@@ -169,11 +177,11 @@
             }
             let kind = self.kind_of_next(wait);
             let class = self.queries.get(wait.query.0).map(|row| &row.selector().name);
-            if class.is_some_and(|class| !self.is_home(class, server)) {
-                self.place(wait.query, wait.part, kind);
+            if class.is_some_and(|class| !self.is_in_home_region(class, server)) {
+                self.place(wait.query, wait.shard_index, kind);
                 continue;
             }
-            self.send(wait.query, wait.part, server, kind);
+            self.send(wait.query, wait.shard_index, server, kind);
         }
         let state = &self.servers[server.index()];
         if state.inflight == 0 && state.waiting_len() > 0 {
@@ -186,11 +194,11 @@
         let Some(row) = self.queries.get(wait.query.0) else {
             return false;
         };
-        row.parts.get(wait.part as usize).is_some_and(|part| part.is_waiting)
+        row.shards.get(wait.shard_index as usize).is_some_and(|part| part.is_waiting)
     }
 
     fn kind_of_next(&self, wait: server::Wait) -> query::Kind {
-        let tries = self.queries.get(wait.query.0).map_or(0, |row| row.parts[wait.part as usize].tries);
+        let tries = self.queries.get(wait.query.0).map_or(0, |row| row.shards[wait.shard_index as usize].tries);
         if tries == 0 { query::Kind::First } else { query::Kind::Retry }
     }
 
@@ -202,7 +210,7 @@
                 continue;
             }
             let kind = self.kind_of_next(wait);
-            self.place(wait.query, wait.part, kind);
+            self.place(wait.query, wait.shard_index, kind);
         }
     }
 
@@ -212,32 +220,32 @@
             return;
         };
         // A trial reaches one server.
-        if row.trial == query::Trial::Granted && row.last.is_none() && !is_free {
+        if row.trial == query::Trial::Granted && row.last_answer.is_none() && !is_free {
             let code = if was_not_run { event::Code::CrashesServers } else { event::Code::AttemptLost };
-            self.finish_unanswered(query, code, Some(suspect::AFTER_TRIAL));
+            self.finish_unanswered(query, code, Some(suspect::TRIAL_RETRY_AFTER));
             return;
         }
         let selector = row.selector();
-        let state = row.parts[part as usize];
+        let state = row.shards[part as usize];
         if state.is_pending() || state.has_reply() {
             self.settle(query);
             return;
         }
         // What may crash servers is not sent to a second one after a loss.
-        let is_repeatable = selector.idempotent && !row.is_passed_on && !self.is_suspect(row);
+        let is_repeatable = selector.idempotent && !row.is_forwarded && !self.is_suspect(row);
         let is_allowed = is_repeatable || was_not_run || mutant::is(mutant::Mutant::RetryUnknown);
         if !is_allowed {
             self.finish_unanswered(query, event::Code::AttemptLost, None);
             return;
         }
         let replicas = &row.target(part).replicas;
-        let may_try_more = selector.servers_most.is_none_or(|most| state.servers() < usize::from(most));
+        let may_try_more = selector.servers_most.is_none_or(|most| state.reached_servers() < usize::from(most));
         let has_fresh = may_try_more && replicas.iter().any(|&id| !state.was_tried(id) && self.is_open(id));
         let is_spent = state.tries >= self.policy.attempts_per_shard;
         // A host that did nothing is no loss, and this one can gather itself.
-        let is_free = is_free || row.is_passed_on && was_not_run;
-        let is_exhausted = row.is_passed_on && !has_fresh;
-        if is_exhausted && self.gather_here(query) {
+        let is_free = is_free || row.is_forwarded && was_not_run;
+        let is_exhausted = row.is_forwarded && !has_fresh;
+        if is_exhausted && self.gather_locally(query) {
             return;
         }
         if is_spent {
@@ -259,7 +267,7 @@
         let backoff = BACKOFF.0 << doublings.min(5);
         let jitter = self.random.random_range(0..=backoff);
         if let Some(row) = self.queries.get_mut(query.0) {
-            row.parts[part as usize].is_waiting = true;
+            row.shards[part as usize].is_waiting = true;
         }
         self.timers.push(self.now + clock::Millis(backoff + jitter), Timer::Retry(query, part));
     }
@@ -271,14 +279,14 @@
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
-        if !was_not_run || state.waits >= BUDGET_WAITS {
+        let state = &mut row.shards[part as usize];
+        if !was_not_run || state.budget_waits >= BUDGET_WAITS {
             self.fail_part(query, part);
             return;
         }
-        state.waits += 1;
+        state.budget_waits += 1;
         state.needs_budget = true;
-        let doublings = state.waits;
+        let doublings = state.budget_waits;
         self.back_off(query, part, doublings);
     }
 
@@ -299,7 +307,7 @@
             self.fleet.spend(self.now, service);
             // A query that begins anew pays for all its shards before it has their rows again.
             let row = self.queries.get_mut(query.0);
-            if let Some(state) = row.and_then(|row| row.parts.get_mut(part as usize)) {
+            if let Some(state) = row.and_then(|row| row.shards.get_mut(part as usize)) {
                 state.is_paid = true;
             }
             return true;
@@ -323,13 +331,13 @@
     }
 
     pub(super) fn on_backoff_end(&mut self, query: id::Query, part: u32) {
-        if !self.still_waits(server::Wait { query, part }) {
+        if !self.still_waits(server::Wait { query, shard_index: part }) {
             return;
         }
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
+        let state = &mut row.shards[part as usize];
         state.is_waiting = false;
         let needs_budget = std::mem::take(&mut state.needs_budget);
         if needs_budget && !self.spend(query, part, query::Kind::Retry) {
--- a/crates/core/src/traffic/finish.rs
+++ b/crates/core/src/traffic/finish.rs
@@ -23,14 +23,15 @@
         let Some(row) = self.queries.get(query.0) else {
             return;
         };
-        let Some(best) = row.best() else {
+        let Some(best) = row.largest_group() else {
             return;
         };
-        let mut contributed = Vec::with_capacity(best.shards);
+        let mut contributed = Vec::with_capacity(best.shard_count);
         let mut missing = Vec::new();
         let mut is_one_snapshot = true;
-        for (part, target) in row.parts.iter().zip(row.targets()) {
-            let got = if mutant::is(mutant::Mutant::MixSnapshots) { part.got[0] } else { part.of(best.snapshot) };
+        for (part, target) in row.shards.iter().zip(row.targets()) {
+            let got =
+                if mutant::is(mutant::Mutant::MixSnapshots) { part.replies[0] } else { part.reply_of(best.snapshot) };
             let Some(got) = got else {
                 missing.push(target.shard.clone());
                 continue;
@@ -44,7 +45,7 @@
         if !is_one_snapshot {
             self.breach(invariant::Name::OneSnapshot, format!("{query}: not all of {}", best.snapshot));
         }
-        let is_true = contributed.len() + missing.len() == self.queries.get(query.0).map_or(0, |row| row.parts.len());
+        let is_true = contributed.len() + missing.len() == self.queries.get(query.0).map_or(0, |row| row.shards.len());
         if !is_true {
             let detail = format!("{query}: {} in, {} missing", contributed.len(), missing.len());
             self.breach(invariant::Name::TrueCoverage, detail);
@@ -56,7 +57,7 @@
         }
         let code = if missing.is_empty() { event::Code::Ok } else { event::Code::Partial };
         let (outcome, snapshot) = (event::Outcome::Answered, Some(best.snapshot));
-        let why = why::Why::Plain;
+        let why = why::Why::CodeOnly;
         self.end(query, Ending { outcome, code, why, retry_after: None, snapshot, contributed, missing });
     }
 
@@ -68,7 +69,7 @@
         code: event::Code,
         retry_after: Option<clock::Millis>,
     ) {
-        self.finish_because(query, code, retry_after, why::Why::Plain);
+        self.finish_because(query, code, retry_after, why::Why::CodeOnly);
     }
 
     /// Like [`Self::finish_unanswered`], with what decided it.
@@ -82,7 +83,7 @@
         let Some(row) = self.queries.get(query.0) else {
             return;
         };
-        let is_live = row.parts.iter().any(|part| part.live_count() > 0);
+        let is_live = row.shards.iter().any(|part| part.live_count() > 0);
         let may_have_run = row.may_have_run || is_live;
         let is_not_run = !may_have_run || mutant::is(mutant::Mutant::AssumeNotRun);
         let outcome = if is_not_run { event::Outcome::NotRun } else { event::Outcome::Unknown };
@@ -97,7 +98,7 @@
         let mut late = None;
         if let Some(row) = self.queries.get(query.0) {
             late = self.late(row).filter(|_| outcome == event::Outcome::Answered);
-            if why == why::Why::Plain && (code != event::Code::Ok || late.is_some()) {
+            if why == why::Why::CodeOnly && (code != event::Code::Ok || late.is_some()) {
                 why = self.waited_for(row);
             }
         }
@@ -107,10 +108,10 @@
         if self.callers.swap_remove(&row.caller) != Some(query) {
             self.breach(invariant::Name::OwnWholeAnswer, format!("{query}: {:?} has no such query", row.caller));
         }
-        self.end_trial(&row);
-        for attempt in row.parts.iter().flat_map(|part| part.live).flatten() {
-            if outcome != event::Outcome::Answered && row.last.is_none() {
-                self.note_abandoned(&row, attempt);
+        self.report_unused_trial(&row);
+        for attempt in row.shards.iter().flat_map(|part| part.live).flatten() {
+            if outcome != event::Outcome::Answered && row.last_answer.is_none() {
+                self.record_abandoned(&row, attempt);
             }
             self.cancel(attempt);
         }
@@ -158,7 +159,7 @@
         let is_good = outcome == event::Outcome::Answered && took <= target;
         let class = &mut self.classes[row.class];
         class.running = class.running.saturating_sub(1);
-        class.on_end(self.now, took, is_good, self.policy.running_ceiling);
+        class.on_run_end(self.now, took, is_good, self.policy.running_ceiling);
     }
 
     /// How long after its aim an answer that leaves now is.
@@ -174,13 +175,13 @@
         if !silent.is_empty() {
             return why::Why::Silent(silent);
         }
-        let Some((part, server, sent)) = row.last else {
-            return why::Why::Plain;
+        let Some((part, server, sent)) = row.last_answer else {
+            return why::Why::CodeOnly;
         };
         why::Why::Last {
             shard: row.target(part).shard.clone(),
             server: row.view.server(server).map(|server| server.name.clone()).unwrap_or_default(),
-            sent: sent.since(row.arrived),
+            sent_after: sent.since(row.arrived),
             took: self.now.since(sent),
         }
     }
@@ -188,7 +189,7 @@
     /// The shards whose part is not in an answer and did not fail: who is waited for, and since when.
     fn silent(&self, row: &query::Query) -> Vec<why::Silent> {
         let mut silent = Vec::new();
-        for (part, target) in row.parts.iter().zip(row.targets()) {
+        for (part, target) in row.shards.iter().zip(row.targets()) {
             if part.has_reply() {
                 continue;
             }
@@ -202,7 +203,7 @@
             silent.push(why::Silent {
                 shard: target.shard.clone(),
                 server: server.unwrap_or_default(),
-                since: self.now.since(since),
+                elapsed: self.now.since(since),
             });
         }
         silent
@@ -217,7 +218,7 @@
         missing: &[CompactString],
     ) {
         let mut tried = Vec::new();
-        for (part, target) in row.parts.iter().zip(row.targets()) {
+        for (part, target) in row.shards.iter().zip(row.targets()) {
             if !missing.contains(&target.shard) {
                 continue;
             }
--- a/crates/core/src/traffic/fleet.rs
+++ b/crates/core/src/traffic/fleet.rs
@@ -1,14 +1,14 @@
-//! This host's part of the bounds that all hosts keep together.
+//! This host's share of the fleet-wide bounds on extra attempts.
 //!
-//! The operators bound the extra attempts at a service over any window of time, summed over all
-//! hosts: a ratio of the requests, and a slack. Hosts do not talk about it. Each takes the ratio of
-//! its own requests and an equal part of the slack, so the sum holds whoever can reach whom.
+//! Operators bound the extra attempts at a service, summed over all hosts and any window of time, by a ratio of
+//! the requests plus a slack. Hosts do not coordinate: each applies the ratio to its own requests and takes an
+//! equal share of the slack, so the sum holds under any network partition.
 //!
-//! A part of the slack comes back with time: a bucket of half of it, which fills with the other half in each
-//! window, spends no more than all of it in any window. A host starts without tokens, so that its life before a
-//! restart and the one after it stay inside one part too, and has them some seconds later. Without the time,
-//! a host that asks each shard twice or thrice a second earned a token in two seconds, and a leaf that stood
-//! still for a moment could not be passed over for it.
+//! Part of the slack is refilled over time. A bucket holds half of the share and refills with the other half in
+//! each window, so no window spends more than the whole share. A host starts without tokens, so that its runs
+//! before and after a restart together stay within one share; it has tokens some seconds later. Without the
+//! refill, a host that queries each shard two or three times a second earned a token only every two seconds,
+//! and could not bypass a leaf that stalled for a moment.
 
 use indexmap::IndexMap;
 
@@ -16,97 +16,103 @@
 
 use super::policy;
 
-/// Part of the slack that is given out: the rest covers hosts that joined and are not yet known to
-/// all, which for a moment makes parts too large.
-const GIVEN: f64 = 0.85;
-/// Part of a host's part that may be spent at once; the rest comes back with time.
-const AT_ONCE: f64 = 0.5;
+/// Fraction of the slack that is distributed. The rest covers hosts that have joined and are not yet known to
+/// all, which makes shares too large for a moment.
+const DISTRIBUTED_FRACTION: f64 = 0.85;
+/// Fraction of a host's share that may be spent in a burst; the rest is refilled over time.
+const BURST_FRACTION: f64 = 0.5;
 
-/// Budgets by service.
+/// Token buckets by service.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     bound: Option<policy::Fleet>,
-    /// This lane's part of the slack where nothing else is said, as a share.
-    usual: f64,
-    rows: Vec<budget::Bucket>,
+    /// This lane's share of the slack for services without a share of their own.
+    default_share: f64,
+    buckets: Vec<budget::Bucket>,
 }
 
 impl Fleet {
     pub(crate) fn new(bound: Option<policy::Fleet>) -> Self {
-        Self { bound, usual: 1.0, rows: Vec::new() }
+        Self { bound, default_share: 1.0, buckets: Vec::new() }
     }
 
-    /// Sets this lane's parts of the slack: `usual`, and others for the services in `parts`, which are
-    /// for the whole host with its `lanes`.
-    pub(crate) fn set_parts(&mut self, now: clock::Millis, usual: f64, parts: &IndexMap<id::Service, f64>, lanes: u32) {
-        self.usual = usual / f64::from(lanes);
+    /// Sets this lane's shares of the slack: `default_share`, and `shares` for the services listed there. The
+    /// latter are for the whole host and are divided by `lanes`.
+    pub(crate) fn set_shares(
+        &mut self,
+        now: clock::Millis,
+        default_share: f64,
+        shares: &IndexMap<id::Service, f64>,
+        lanes: u32,
+    ) {
+        self.default_share = default_share / f64::from(lanes);
         let Some(bound) = self.bound else {
             return;
         };
-        for (index, row) in self.rows.iter_mut().enumerate() {
-            if !parts.contains_key(&id::Service(index as u32)) {
-                cut(row, now, &bound, self.usual);
+        for (index, bucket) in self.buckets.iter_mut().enumerate() {
+            if !shares.contains_key(&id::Service(index as u32)) {
+                set_share(bucket, now, &bound, self.default_share);
             }
         }
-        for (&service, part) in parts {
-            if let Some(row) = self.row(now, service) {
-                cut(row, now, &bound, part / f64::from(lanes));
+        for (&service, share) in shares {
+            if let Some(bucket) = self.bucket(now, service) {
+                set_share(bucket, now, &bound, share / f64::from(lanes));
             }
         }
     }
 
-    fn row(&mut self, now: clock::Millis, service: id::Service) -> Option<&mut budget::Bucket> {
+    fn bucket(&mut self, now: clock::Millis, service: id::Service) -> Option<&mut budget::Bucket> {
         if service == id::Service::PEERS {
             return None;
         }
         let bound = self.bound?;
-        while self.rows.len() <= service.index() {
-            let mut row = budget::Bucket::empty(bound.ratio, 0.0);
-            // Time before its first request counts for nothing.
-            row.fill(now);
-            cut(&mut row, now, &bound, self.usual);
-            self.rows.push(row);
+        while self.buckets.len() <= service.index() {
+            let mut bucket = budget::Bucket::empty(bound.ratio, 0.0);
+            // No tokens accrue for the time before the first request.
+            bucket.fill(now);
+            set_share(&mut bucket, now, &bound, self.default_share);
+            self.buckets.push(bucket);
         }
-        let row = self.rows.get_mut(service.index())?;
-        row.fill(now);
-        Some(row)
+        let bucket = self.buckets.get_mut(service.index())?;
+        bucket.fill(now);
+        Some(bucket)
     }
 
     /// Records a request for `service`.
     pub(crate) fn earn(&mut self, now: clock::Millis, service: id::Service) {
-        if let Some(row) = self.row(now, service) {
-            row.earn(1);
+        if let Some(bucket) = self.bucket(now, service) {
+            bucket.earn(1);
         }
     }
 
     /// Whether an extra attempt at `service` is allowed.
     pub(crate) fn has_token(&mut self, now: clock::Millis, service: id::Service) -> bool {
-        self.row(now, service).is_none_or(|row| row.has_token())
+        self.bucket(now, service).is_none_or(|bucket| bucket.has_token())
     }
 
     /// Counts an extra attempt that [`Fleet::has_token`] allowed.
     pub(crate) fn spend(&mut self, now: clock::Millis, service: id::Service) {
-        if let Some(row) = self.row(now, service) {
-            row.spend();
+        if let Some(bucket) = self.bucket(now, service) {
+            bucket.spend();
         }
     }
 
-    /// Gives a token back whose attempt never reached a server.
+    /// Returns the token of an attempt that never reached a server.
     pub(crate) fn refund(&mut self, now: clock::Millis, service: id::Service) {
-        if let Some(row) = self.row(now, service) {
-            row.refund();
+        if let Some(bucket) = self.bucket(now, service) {
+            bucket.refund();
         }
     }
 
     /// Whether the bound holds for `service`.
     pub(crate) fn holds(&mut self, now: clock::Millis, service: id::Service) -> bool {
-        self.row(now, service).is_none_or(|row| row.holds())
+        self.bucket(now, service).is_none_or(|bucket| bucket.holds())
     }
 }
 
-/// Gives a bucket `part` of the slack.
-fn cut(row: &mut budget::Bucket, now: clock::Millis, bound: &policy::Fleet, part: f64) {
-    let slack = bound.slack * GIVEN * part;
-    row.set_capacity(slack * AT_ONCE);
-    row.set_rate(now, slack * (1.0 - AT_ONCE) / bound.window.0.max(1) as f64);
+/// Sets the capacity and refill rate of a bucket for `share` of the slack.
+fn set_share(bucket: &mut budget::Bucket, now: clock::Millis, bound: &policy::Fleet, share: f64) {
+    let slack = bound.slack * DISTRIBUTED_FRACTION * share;
+    bucket.set_capacity(slack * BURST_FRACTION);
+    bucket.set_rate(now, slack * (1.0 - BURST_FRACTION) / bound.window.0.max(1) as f64);
 }
--- a/crates/core/src/traffic/gather.rs
+++ b/crates/core/src/traffic/gather.rs
@@ -19,7 +19,7 @@
             return;
         };
         if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].remove_live(attempt);
+            query.shards[row.shard_index as usize].remove_live(attempt);
         }
         let is_broken = reply == event::Reply::Lost(event::Loss::Broken);
         let is_other = matches!(reply, event::Reply::NotSent | event::Reply::Misdirected);
@@ -27,7 +27,7 @@
             self.servers[row.server.index()].losses.clear();
         }
         if reply != event::Reply::NotSent {
-            self.servers[row.server.index()].on_word(self.now);
+            self.servers[row.server.index()].on_activity(self.now);
         }
         match reply {
             event::Reply::Answered(part) => self.on_part(attempt, row, part),
@@ -46,42 +46,42 @@
         if self.servers[row.server.index()].was_ejected() {
             self.note(note::Note::Restored { server: self.server_name(row.server) });
         }
-        let usual = self.classes[row.class].usual_attempt(row.is_relay);
+        let usual = self.classes[row.class].median_attempt_time(row.is_relay);
         let state = &mut self.servers[row.server.index()];
         state.on_answer(self.now, took, usual, &part);
-        state.holds = [Some(part.snapshot), part.held];
+        state.snapshots = [Some(part.snapshot), part.held];
         self.ejected = self.ejected.saturating_sub(usize::from(was_out));
         self.release(row.server);
         let class = row.class;
         if row.is_relay {
-            self.classes[class].relays.record(took);
+            self.classes[class].relay_times.record(took);
         } else {
-            self.classes[class].attempts.record(took);
+            self.classes[class].attempt_times.record(took);
         }
         let via = row.is_relay.then(|| self.server_name(row.server));
-        self.note_survivor(row.query);
+        self.record_answered(row.query);
         let Some(query) = self.queries.get_mut(row.query.0) else {
             return;
         };
         query.may_have_run = true;
         let is_canary = std::mem::take(&mut query.is_canary);
-        query.last = Some((row.part, row.server, row.sent));
+        query.last_answer = Some((row.shard_index, row.server, row.sent));
         query.via = via;
         let epoch = query.selector().epoch;
         if part.snapshot.epoch != epoch {
-            query.saw_epoch = Some(part.snapshot.epoch);
-            self.on_other_epoch(row.query, row.part);
+            query.seen_epoch = Some(part.snapshot.epoch);
+            self.on_other_epoch(row.query, row.shard_index);
             return;
         }
-        let got = query::Got { snapshot: part.snapshot, attempt, hits: part.hits };
-        query.file(row.part as usize, got);
+        let got = query::Reply { snapshot: part.snapshot, attempt, hits: part.hits };
+        query.add_reply(row.shard_index as usize, got);
         let is_mixed = query.groups.len() > 1;
         if is_mixed {
-            self.note_rolling(class);
+            self.record_rollout(class);
         }
-        self.cancel_siblings(row.query, row.part, part.snapshot);
+        self.cancel_siblings(row.query, row.shard_index, part.snapshot);
         if is_canary {
-            self.place_from(row.query, row.part + 1);
+            self.place_from(row.query, row.shard_index + 1);
             if let Some(query) = self.queries.get_mut(row.query.0) {
                 query.is_placing = false;
             }
@@ -97,7 +97,7 @@
         if row.want.is_some_and(|want| want != snapshot) {
             return;
         }
-        let live = std::mem::take(&mut row.parts[part as usize].live);
+        let live = std::mem::take(&mut row.shards[part as usize].live);
         for attempt in live.into_iter().flatten() {
             self.cancel(attempt);
         }
@@ -113,10 +113,10 @@
             return;
         };
         let took = self.now.since(row.sent);
-        let usual = self.classes[row.class].usual_attempt(row.is_relay);
-        self.servers[row.server.index()].on_silence(self.now, took, usual);
+        let usual = self.classes[row.class].median_attempt_time(row.is_relay);
+        self.servers[row.server.index()].on_cancel(self.now, took, usual);
         self.outputs.push(event::Output::Cancel { attempt });
-        self.timers.push(self.now + self.policy.close_lag, Timer::Closed(row.server));
+        self.timers.push(self.now + self.policy.close_lag, Timer::ConnectionClosed(row.server));
     }
 
     fn note_failed(&mut self, row: query::Attempt, end: event::Reply) {
@@ -142,20 +142,20 @@
         }
         self.note_failure(row.server);
         self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.retry(row.query, row.shard_index, false, false);
     }
 
     /// The server that was meant is gone, and another one has its address.
     fn on_misdirected(&mut self, row: query::Attempt) {
         self.stats.refused += 1;
         self.note_failed(row, event::Reply::Misdirected);
-        self.note_end(row.server);
+        self.on_server_gone(row.server);
         // The reply to a request sent before the address changed says nothing about the current address.
         let state = &mut self.servers[row.server.index()];
         state.is_replaced |= row.sent > state.address_since;
         self.release(row.server);
         self.requeue(row.server);
-        self.retry(row.query, row.part, true, false);
+        self.retry(row.query, row.shard_index, true, false);
     }
 
     fn on_refused(&mut self, row: query::Attempt, retry_after: Option<clock::Millis>) {
@@ -163,7 +163,7 @@
         self.note_failed(row, event::Reply::Refused { retry_after });
         self.servers[row.server.index()].on_shed(self.now, retry_after);
         self.release(row.server);
-        self.retry(row.query, row.part, true, false);
+        self.retry(row.query, row.shard_index, true, false);
     }
 
     /// This attempt did not run, but one with its key did, so the request is not "not run".
@@ -178,11 +178,11 @@
     fn on_not_sent(&mut self, row: query::Attempt) {
         self.stats.not_sent += 1;
         self.note_failed(row, event::Reply::NotSent);
-        self.note_end(row.server);
+        self.on_server_gone(row.server);
         self.refund(row);
         self.note_failure(row.server);
         self.release(row.server);
-        self.retry(row.query, row.part, true, true);
+        self.retry(row.query, row.shard_index, true, true);
     }
 
     /// The attempt never reached a server, so it was no load.
@@ -191,7 +191,7 @@
         let Some(query) = self.queries.get(row.query.0) else {
             return;
         };
-        let service = query.target(row.part).service;
+        let service = query.target(row.shard_index).service;
         if row.kind == query::Kind::Hedge {
             self.classes[class].hedges.refund();
         }
@@ -199,7 +199,7 @@
             self.fleet.refund(self.now, service);
         }
         if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].note_unsent(row.server);
+            query.shards[row.shard_index as usize].record_unsent(row.server);
         }
     }
 
@@ -207,14 +207,14 @@
         self.stats.lost += 1;
         self.note_failed(row, event::Reply::Lost(loss));
         if loss == event::Loss::Broken {
-            self.note_loss(&row);
+            self.record_loss(&row);
         }
         if let Some(query) = self.queries.get_mut(row.query.0) {
             query.may_have_run = true;
         }
         self.note_failure(row.server);
         self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.retry(row.query, row.shard_index, false, false);
     }
 
     /// The server of an attempt started anew, which says nothing bad of its new life.
@@ -225,11 +225,11 @@
         self.stats.lost += 1;
         self.note_failed(row, event::Reply::Lost(event::Loss::Restarted));
         if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].remove_live(attempt);
+            query.shards[row.shard_index as usize].remove_live(attempt);
             query.may_have_run = true;
         }
         self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.retry(row.query, row.shard_index, false, false);
     }
 
     fn note_failure(&mut self, server: id::Server) {
@@ -258,7 +258,7 @@
             return;
         };
         let selector = row.selector();
-        let seen = row.saw_epoch.unwrap_or_default();
+        let seen = row.seen_epoch.unwrap_or_default();
         let is_in_force =
             self.view.classes.get(&selector.name).is_some_and(|class| class.epoch == seen && seen > selector.epoch);
         if is_in_force && selector.idempotent && row.restarts < RESTARTS {
@@ -278,7 +278,7 @@
         };
         row.restarts += 1;
         row.may_have_run = true;
-        let parts = std::mem::take(&mut row.parts);
+        let parts = std::mem::take(&mut row.shards);
         self.stats.restarts += 1;
         for attempt in parts.iter().flat_map(|part| part.live).flatten() {
             self.cancel(attempt);
@@ -297,22 +297,22 @@
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        if row.is_passed_on && row.parts[part as usize].live_count() == 0 && self.gather_here(query) {
+        if row.is_forwarded && row.shards[part as usize].live_count() == 0 && self.gather_locally(query) {
             return;
         }
         let Some(row) = self.queries.get_mut(query.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
+        let state = &mut row.shards[part as usize];
         state.is_waiting = false;
         if state.is_failed || state.has_reply() {
             self.settle(query);
             return;
         }
         state.is_failed = true;
-        row.failed += 1;
-        let total = row.parts.len();
-        let reachable = total - row.failed;
+        row.failed_shards += 1;
+        let total = row.shards.len();
+        let reachable = total - row.failed_shards;
         let goes_on = row.is_canary && (part as usize) + 1 < total;
         if !row.selector().least_coverage.is_met(reachable, total) {
             let code = self.shortfall(query);
@@ -327,7 +327,7 @@
     }
 
     fn shortfall(&self, query: id::Query) -> event::Code {
-        let saw_epoch = self.queries.get(query.0).is_some_and(|row| row.saw_epoch.is_some());
+        let saw_epoch = self.queries.get(query.0).is_some_and(|row| row.seen_epoch.is_some());
         if saw_epoch { event::Code::Repartitioned } else { event::Code::InsufficientCoverage }
     }
 
@@ -340,9 +340,9 @@
             return;
         }
         let selector = row.selector();
-        let total = row.parts.len();
-        let best = row.best();
-        let shards = best.map_or(0, |group| group.shards);
+        let total = row.shards.len();
+        let best = row.largest_group();
+        let shards = best.map_or(0, |group| group.shard_count);
         let is_enough = shards > 0 && selector.least_coverage.is_met(shards, total);
         let has_hits = best.zip(selector.enough_hits).is_some_and(|(group, enough)| group.hits >= enough);
         let is_time = row.settle_at.is_some_and(|settle_at| self.now >= settle_at);
@@ -384,7 +384,7 @@
             row.want = Some(target);
             self.stats.mixed += 1;
         }
-        for part in 0..row.parts.len() as u32 {
+        for part in 0..row.shards.len() as u32 {
             let Some(server) = self.reask_server(query, part, target) else {
                 continue;
             };
@@ -402,8 +402,8 @@
     /// asked.
     fn reask_server(&self, query: id::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
         let row = self.queries.get(query.0)?;
-        let state = row.parts[part as usize];
-        if !state.has_reply() || state.of(target).is_some() || state.is_pending() {
+        let state = row.shards[part as usize];
+        if !state.has_reply() || state.reply_of(target).is_some() || state.is_pending() {
             return None;
         }
         if state.tries >= self.policy.attempts_per_shard {
@@ -416,8 +416,8 @@
         let replicas = &row.target(part).replicas;
         let mut holders = replicas.iter().copied().filter(|&id| {
             self.is_open(id)
-                && self.is_home(&row.selector().name, id)
-                && self.servers[id.index()].holds(target)
+                && self.is_in_home_region(&row.selector().name, id)
+                && self.servers[id.index()].has_snapshot(target)
                 && !self.servers[id.index()].is_ejected(self.now)
         });
         holders.next()
@@ -428,15 +428,15 @@
         let row = self.queries.get(query.0)?;
         let mut best: Option<(usize, usize, view::Snapshot)> = None;
         for group in &row.groups {
-            let mut reach = group.shards;
-            for (part, state) in row.parts.iter().enumerate() {
-                if state.of(group.snapshot).is_some() {
+            let mut reach = group.shard_count;
+            for (part, state) in row.shards.iter().enumerate() {
+                if state.reply_of(group.snapshot).is_some() {
                     continue;
                 }
                 let may_come = state.is_pending() || self.holder(row, part as u32, group.snapshot).is_some();
                 reach += usize::from(may_come);
             }
-            let candidate = (reach, group.shards, group.snapshot);
+            let candidate = (reach, group.shard_count, group.snapshot);
             if best.is_none_or(|held| candidate > held) {
                 best = Some(candidate);
             }
@@ -453,12 +453,12 @@
             self.finish_unanswered(query, event::Code::Expired, Some(retry_after));
             return;
         }
-        let shards = row.best().map_or(0, |group| group.shards);
-        if shards > 0 && row.selector().least_coverage.is_met(shards, row.parts.len()) {
+        let shards = row.largest_group().map_or(0, |group| group.shard_count);
+        if shards > 0 && row.selector().least_coverage.is_met(shards, row.shards.len()) {
             self.finish_answered(query);
             return;
         }
-        let is_one = row.parts.len() == 1;
+        let is_one = row.shards.len() == 1;
         let code = if is_one { event::Code::TimedOut } else { self.shortfall(query) };
         let retry_after = self.classes[row.class].retry_after();
         self.finish_unanswered(query, code, Some(retry_after.max(COME_BACK)));
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -11,6 +11,7 @@
 //! coverage, answers).
 
 mod admit;
+mod capacity;
 mod choose;
 mod class;
 mod dispatch;
@@ -24,7 +25,6 @@
 pub mod policy;
 mod query;
 mod relay;
-mod room;
 mod server;
 pub mod summary;
 mod suspect;
@@ -76,7 +76,7 @@
     callers: IndexMap<id::Caller, id::Query>,
     attempts: table::Table<query::Attempt>,
     timers: timer::Heap,
-    keys: key::Memory,
+    keys: key::Table,
     suspects: suspect::Suspects,
     answered: suspect::Answered,
     /// Queries that are trials or ask for one, by what they ask.
@@ -108,7 +108,7 @@
             callers: IndexMap::new(),
             attempts: table::Table::default(),
             timers: timer::Heap::default(),
-            keys: key::Memory::default(),
+            keys: key::Table::default(),
             suspects: suspect::Suspects::default(),
             answered: suspect::Answered::default(),
             trials: IndexMap::new(),
@@ -223,10 +223,10 @@
                 Timer::Hedge(query) => self.hedge(query),
                 Timer::Retry(query, part) => self.on_backoff_end(query, part),
                 Timer::Pump(server) => self.pump(server),
-                Timer::Closed(server) => self.release(server),
-                Timer::Trial(query) => self.on_trial_refused(query),
+                Timer::ConnectionClosed(server) => self.release(server),
+                Timer::TrialTimeout(query) => self.on_trial_timeout(query),
                 Timer::Probe(server) => self.send_probe(server),
-                Timer::ProbeEnd(server) => self.on_probe_end(server),
+                Timer::ProbeTimeout(server) => self.on_probe_timeout(server),
                 Timer::Resume => self.resume(),
             }
         }
@@ -256,7 +256,7 @@
         self.clear_replaced(&view);
         self.view = view;
         let usual = 1.0 / f64::from(self.view.hosts.max(1));
-        self.fleet.set_parts(self.now, usual, &self.view.parts, self.lane.count.max(1));
+        self.fleet.set_shares(self.now, usual, &self.view.parts, self.lane.count.max(1));
         self.servers.resize_with(self.view.servers.len().max(self.servers.len()), Default::default);
         let mut reborn = Vec::new();
         for index in 0..self.servers.len() {
@@ -313,14 +313,14 @@
             self.outputs.push(Output::Trim { server: id, keep: share });
         }
         let is_back = row.set_evacuated(published.evacuated);
-        row.warm_up.take(self.now, published.warm_up.as_ref(), is_back);
+        row.warm_up.update(self.now, published.warm_up.as_ref(), is_back);
         // One lane holds the right to send for the whole host.
         let holds = id.0 % self.lane.count.max(1) == self.lane.index;
         if row.warm_up.is_cold(self.now) {
             let bound = published.warm_up.filter(|_| holds);
             row.warm_up.set_pause(bound.and_then(|bound| self.view.warm_up_pause(&published.name, &bound)));
         }
-        if !published.is_open() || self.servers[id.index()].is_barred(self.now) {
+        if !published.is_open() || self.servers[id.index()].is_blocked(self.now) {
             self.requeue(id);
         }
         self.pump(id);
@@ -334,7 +334,7 @@
         if is_over {
             let name = self.server_name(id);
             let name = if name.is_empty() { compact_str::format_compact!("{id}") } else { name };
-            self.note_death(id, &name, before);
+            self.report_crash(id, &name, before);
         }
     }
 
--- a/crates/core/src/traffic/note.rs
+++ b/crates/core/src/traffic/note.rs
@@ -1,5 +1,4 @@
-//! Decisions that are worth a line in the log: those that change what happens to a request beyond
-//! its first attempts, or what the core believes of a server.
+//! Decisions to log: those that affect a request beyond its first attempts, or change the state of a server.
 
 use compact_str::CompactString;
 
@@ -7,102 +6,102 @@
 
 use super::event;
 
-/// A decision, with the inputs that decided it.
+/// A decision, with its inputs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
     /// Another attempt was sent for a shard.
     Extra {
-        /// Whose request.
+        /// The caller of the request.
         caller: id::Caller,
-        /// The shard.
+        /// Name of the shard.
         shard: CompactString,
-        /// The server that gets it.
+        /// Name of the server that receives the attempt.
         server: CompactString,
-        /// Why.
+        /// Reason for the attempt.
         cause: Cause,
-        /// Time since the request came.
+        /// Time since the request arrived.
         after: clock::Millis,
     },
-    /// An attempt of a request that is suspected of crashing servers was sent.
+    /// An attempt was sent of a request that is suspected of crashing servers.
     Suspect {
-        /// Whose request.
+        /// The caller of the request.
         caller: id::Caller,
-        /// What was asked.
+        /// Fingerprint of the request.
         fingerprint: suspect::Fingerprint,
-        /// The shard.
+        /// Name of the shard.
         shard: CompactString,
-        /// The server that gets it.
+        /// Name of the server that receives the attempt.
         server: CompactString,
-        /// Whether it is a trial.
+        /// Whether the attempt is a trial.
         is_trial: bool,
     },
-    /// Another attempt would have helped, but the budget has no token.
+    /// Another attempt was due, but the budget has no token.
     Denied {
-        /// Whose request.
+        /// The caller of the request.
         caller: id::Caller,
-        /// The shard.
+        /// Name of the shard.
         shard: CompactString,
-        /// Why it would have helped.
+        /// Reason for the attempt.
         cause: Cause,
     },
-    /// An attempt came to a bad end.
+    /// An attempt failed.
     Failed {
-        /// Whose request; `None` if it has its answer already.
+        /// The caller of the request; `None` if it has already been answered.
         caller: Option<id::Caller>,
-        /// The server.
+        /// Name of the server.
         server: CompactString,
-        /// How it ended.
+        /// How the attempt ended.
         end: event::Reply,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: clock::Millis,
     },
-    /// A server is passed over because attempts are silent there.
+    /// New queries avoid a server because attempts there got no reply.
     Silent {
-        /// The server.
+        /// Name of the server.
         server: CompactString,
-        /// How long the attempt has been silent.
+        /// Time since the attempt was sent.
         silent_for: clock::Millis,
-        /// How long the server is passed over.
+        /// How long the server is avoided.
         pause: clock::Millis,
     },
-    /// A server that failed several times in a row is left out.
+    /// A server was ejected after several consecutive failures.
     Ejected {
-        /// The server.
+        /// Name of the server.
         server: CompactString,
-        /// How long.
+        /// Duration of the ejection.
         pause: clock::Millis,
     },
-    /// A server that was left out answers again.
+    /// An ejected server answers again.
     Restored {
-        /// The server.
+        /// Name of the server.
         server: CompactString,
     },
-    /// The process was stopped for a while.
+    /// The process was suspended for a while.
     Paused {
-        /// How long, as far as the steps tell.
+        /// Time between the two steps around the pause.
         gap: clock::Millis,
-        /// Queries that had expired meanwhile.
+        /// Number of queries whose deadline passed during the pause.
         expired: usize,
     },
     /// A newer view took effect.
     View {
-        /// Servers in it.
+        /// Number of servers in the view.
         servers: usize,
-        /// Of these, leaving.
+        /// Number of these that are leaving.
         leaving: usize,
-        /// Of these, in data centres that are evacuated.
+        /// Number of these in evacuated data centres.
         evacuated: usize,
     },
 }
 
-/// Why a shard gets another attempt.
+/// Reason for another attempt at a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The first is silent for longer than most.
+    /// The earlier attempt has been silent for longer than most take.
     Silence,
-    /// The server refused, failed, or the end is unknown and may be repeated.
+    /// The server refused or failed, or the outcome is unknown and the request is idempotent.
     Failure,
-    /// Replies are of several snapshots.
+    /// Replies are from different snapshots.
     Snapshot,
 }
 
--- a/crates/core/src/traffic/policy.rs
+++ b/crates/core/src/traffic/policy.rs
@@ -1,91 +1,87 @@
-//! Every knob of the traffic decisions, with its default and the measurement that set it.
+//! Settings of the traffic decisions, with their defaults and the measurements behind them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{clock, ratio};
 
-/// Knobs of one traffic core. `docs/design/` gives the ways weighed for each.
+/// Settings of one traffic core. `docs/design/` lists the alternatives considered for each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Hedges allowed for each first attempt. Default 0.04: with the retries' share it keeps the
-    /// extra load of a healthy fleet with one straggler in a hundred below 5%.
+    /// Hedges allowed for each first attempt. Default 0.04: together with the retries it keeps the extra load
+    /// of a healthy fleet with one straggler in a hundred below 5%.
     pub hedge_fraction: f64,
-    /// Quantile of the class's recent attempt latency after which a hedge may go out. Default 0.95.
+    /// Quantile of the class's recent attempt latency after which a hedge may be sent. Default 0.95.
     pub hedge_quantile: f64,
-    /// Shortest wait before a hedge, in ms. Default 4.
+    /// Minimum delay before a hedge, in ms. Default 4.
     pub hedge_floor: clock::Millis,
     /// Retries allowed for each first attempt. Default 0.06.
     pub retry_fraction: f64,
-    /// Extra attempts that may be spent in a burst, for hedges and for retries each. Default 64.
+    /// Burst size of the hedge budget and of the retry budget, in extra attempts. Default 64.
     pub burst: f64,
-    /// Most attempts for one shard of one query. Default 4.
+    /// Maximum number of attempts for one shard of one query. Default 4.
     pub attempts_per_shard: u8,
-    /// Whether servers that keep failing are left out for a while. Default true.
+    /// Whether servers with consecutive failures are ejected for a while. Default true.
     pub ejection: bool,
-    /// First time out of use after an ejection, in ms; doubles each time. Default 1000.
+    /// Duration of the first ejection, in ms; doubles each time. Default 1000.
     pub ejection_base: clock::Millis,
-    /// Largest share of a service's servers that may be out at once. Default 0.5.
+    /// Maximum fraction of a service's servers that may be ejected at once. Default 0.5.
     pub ejection_ceiling: ratio::Ratio,
     /// Consecutive failures before an ejection. Default 3.
     pub ejection_failures: u32,
-    /// Whether a replica is chosen by own evidence (two random choices); else at random.
+    /// Whether a replica is chosen by this core's own measurements (two random choices) rather than at random.
     pub two_choices: bool,
-    /// Whether a replica that cannot take an attempt at once is passed over for one that can. Default
-    /// false.
+    /// Whether a replica with free capacity is preferred to one without. Default false.
     pub prefer_room: bool,
-    /// Weight of the load that a server reports, aged by its half-life. Default 0: it lags and
-    /// misleads, and own evidence did better (see `docs/MEASUREMENTS.md`).
+    /// Weight of the load that a server reports, which decays with its half-life. Default 0: it lags and
+    /// misleads, and this core's own measurements did better (see `docs/MEASUREMENTS.md`).
     pub reported_load_weight: f64,
-    /// Whether the number of queries that run at once adapts. Default true.
+    /// Whether the limit on concurrent queries adapts. Default true.
     pub adaptive_admission: bool,
-    /// Whether a request is refused when it comes that would wait for room at the servers for so long
-    /// that its answer could not be inside the aim. Default false.
+    /// Whether a request is refused on arrival if the wait for capacity at the servers would make its answer
+    /// miss the target latency. Default false.
     pub refuse_by_wait: bool,
-    /// Share of the deadline that a query's run may take before admission is cut. Default 0.4.
+    /// Fraction of the deadline that a query's run may take before the admission limit is cut. Default 0.4.
     pub latency_target: ratio::Ratio,
-    /// Share of a request's time that it may be expected to wait before it runs; one that would wait
-    /// longer is refused when it comes. Default 0.25.
+    /// Fraction of a request's timeout that it may be expected to wait before it runs; a request with a longer
+    /// expected wait is refused on arrival. Default 0.25.
     pub queue_share: ratio::Ratio,
-    /// Most queries of a class that run at once in one traffic core. Default 512.
+    /// Maximum number of concurrent queries of a class in one traffic core. Default 512.
     pub running_ceiling: u32,
-    /// Most queries of a class that wait to run. Default 256.
+    /// Maximum number of queued queries of a class. Default 256.
     pub queue_ceiling: u32,
-    /// A gap between steps that counts as a pause of the process, in ms. Default 1000.
+    /// Gap between steps that counts as a pause of the process, in ms. Default 1000.
     pub pause: clock::Millis,
-    /// Longest time that repeatable work is held back after a pause, in ms. Default 200.
+    /// Maximum time that idempotent work is held back after a pause, in ms. Default 200.
     pub revalidate_grace: clock::Millis,
-    /// How long the key of a finished request that is not idempotent is remembered, in ms.
-    /// Default 60000.
+    /// How long the key of a finished request that is not idempotent is remembered, in ms. Default 60000.
     pub key_window: clock::Millis,
-    /// Most keys remembered. Default 65536.
+    /// Maximum number of keys remembered. Default 65536.
     pub key_ceiling: usize,
-    /// How long a connection that was closed to cancel an attempt still counts, in ms: the server
-    /// learns of the close only after a while, and a new connection in its place would be one too
-    /// many. Default 20.
+    /// How long a connection that was closed to cancel an attempt still counts, in ms: the server notices the
+    /// close only after a while, and a new connection in its place would exceed its limit. Default 20.
     pub close_lag: clock::Millis,
-    /// Whether shards that answered from another snapshot are asked again. Default true.
+    /// Whether shards that answered from another snapshot are queried again. Default true.
     pub reask: bool,
-    /// Time that an answer needs on its way to the caller, in ms; no attempt is given the very end of
-    /// a caller's time. Default 2.
+    /// Time reserved for sending the answer to the caller, in ms; attempts must end that long before the
+    /// caller's deadline. Default 2.
     pub margin: clock::Millis,
-    /// Time before the aim at which an answer must leave to be in time, in ms: the way of the request
-    /// to this host, which the host does not see, and the way back. Default 10.
+    /// How long before the target latency an answer must be sent to be in time, in ms: covers the request's
+    /// transit to this host, which the host cannot measure, and the answer's way back. Default 10.
     pub aim_margin: clock::Millis,
-    /// Quantile of the class's recent attempt latency after which a server counts as silent, but no later
-    /// than twice the wait before a hedge. Default 0.98.
+    /// Quantile of the class's recent attempt latency after which a server counts as silent, but at most twice
+    /// the hedge delay. Default 0.98.
     pub silence_quantile: f64,
-    /// First time that a server is passed over after it was silent for longer than most, in ms;
-    /// doubles while it stays silent. 0 passes over none. Default 0.
+    /// How long a silent server is avoided at first, in ms; doubles while it stays silent. 0 disables this.
+    /// Default 0.
     pub silence: clock::Millis,
-    /// Replicas whose expected time is within this factor of the best are equal, and chance decides:
-    /// small differences are noise, and all would follow it to one server. Default 1.
+    /// Replicas whose expected latency is within this factor of the best count as equal, and the choice is
+    /// random: small differences are noise, and following them would send all traffic to one server. Default 1.
     pub score_band: f64,
-    /// How many times the expected time of a replica in another data centre counts: bytes between data
-    /// centres cost, and a replica nearby is preferred until it is so much slower. Default 1.
+    /// Factor on the expected latency of replicas in other data centres. Traffic between data centres has a
+    /// cost, so a local replica is preferred until it is slower by this factor. Default 1.
     pub far_cost: f64,
-    /// This host's part of the bound on extra attempts that all hosts together must keep for each
-    /// service. Default none.
+    /// This host's share of the fleet-wide bound on extra attempts at each service. Default none.
     pub fleet: Option<Fleet>,
 }
 
@@ -95,7 +91,7 @@
 pub struct Fleet {
     /// Extra attempts allowed for each request. Default 0.
     pub ratio: f64,
-    /// Extra attempts allowed besides in each window, by all hosts together. Default 0.
+    /// Further extra attempts allowed in each window, over all hosts. Default 0.
     pub slack: f64,
     /// Length of the window, in ms. Default 10000.
     pub window: clock::Millis,
--- a/crates/core/src/traffic/server.rs
+++ b/crates/core/src/traffic/server.rs
@@ -1,4 +1,4 @@
-//! What a traffic core knows of a backend server from its own evidence.
+//! A traffic core's state of a server, from its own measurements.
 
 use std::collections::VecDeque;
 
@@ -6,85 +6,86 @@
 
 use super::{event, policy, suspect, warm_up};
 
-/// Weight of the newest sample in the moving averages of slowness and trouble.
+/// Weight of the newest sample in the moving averages of slowness and failure rate.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Slowness of a server that answers as fast as its class usually does, and of one without evidence.
-const USUAL: f64 = 1.0;
-/// Most slowness that one sample may show: a single stall must not hide a server for long.
-const SLOWNESS_MOST: f64 = 20.0;
-/// Time in which evidence that is not renewed loses half of its weight, in ms. A server that is
-/// passed over gives no evidence, so without this it would be passed over for ever.
-const EVIDENCE_HALF_LIFE: f64 = 3000.0;
-/// How many times longer an answer takes from a server where every attempt fails: the attempt is
-/// lost, another one has to be paid for, and most of a caller's time may be gone.
-const TROUBLE_COST: f64 = 8.0;
-/// Concurrency at which a cold server starts; it grows by one with each success.
+/// Slowness of a server with typical latency for its class, and of one without samples.
+const BASELINE_SLOWNESS: f64 = 1.0;
+/// Upper bound of one slowness sample, so that a single stall does not exclude a server for long.
+const MAX_SLOWNESS: f64 = 20.0;
+/// Time in which old samples lose half of their weight, in ms. An avoided server yields no samples, so without
+/// the decay it would be avoided for ever.
+const SAMPLE_HALF_LIFE: f64 = 3000.0;
+/// Factor by which the expected latency grows if every attempt fails: the attempt is lost, another one must be
+/// paid for, and most of the caller's timeout may be used up.
+const FAILURE_PENALTY: f64 = 8.0;
+/// Initial concurrency limit of a cold server, also the lower bound; grows by one with each success.
 const COLD_LIMIT: f64 = 1.0;
-/// What a shed leaves of the concurrency.
-const SHED_CUT: f64 = 0.7;
-/// What a long queue at the server leaves of the concurrency.
-const QUEUE_CUT: f64 = 0.8;
-/// Pause after a shed that names none.
-const SHED_PAUSE: clock::Millis = clock::Millis(10);
-/// Longest pause that a shed may ask for: a server that lies about it is asked again.
-const SHED_PAUSE_MAX: clock::Millis = clock::Millis(1000);
-/// Most doublings of the time out of use.
-const EJECTION_DOUBLINGS: u32 = 5;
-/// Most doublings of the time that a silent server is passed over.
-const SILENCE_DOUBLINGS: u32 = 4;
-/// Age at which a reported load counts half, in ms.
+/// Factor on the concurrency limit after a shed.
+const SHED_FACTOR: f64 = 0.7;
+/// Factor on the concurrency limit when the server's queue is long.
+const QUEUE_FACTOR: f64 = 0.8;
+/// Pause after a shed without a retry-after.
+const DEFAULT_SHED_PAUSE: clock::Millis = clock::Millis(10);
+/// Upper bound of the pause after a shed, against servers that report a wrong retry-after.
+const MAX_SHED_PAUSE: clock::Millis = clock::Millis(1000);
+/// Maximum number of doublings of the ejection time.
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
+/// Maximum number of doublings of the time that a silent server is avoided.
+const MAX_SILENCE_DOUBLINGS: u32 = 4;
+/// Half-life of a reported load, in ms.
 const LOAD_HALF_LIFE: f64 = 200.0;
 
-/// A shard of a query that waits for a server to have room.
+/// A shard of a query that waits for capacity at a server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wait {
     pub(crate) query: id::Query,
-    pub(crate) part: u32,
+    pub(crate) shard_index: u32,
 }
 
-/// One row of the table of servers.
+/// A row of the server table.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     /// Attempts in flight; each holds one connection.
     pub(crate) inflight: u32,
     /// This core's share of the server's connections.
     pub(crate) share: u32,
-    /// Requests that the server runs at once.
+    /// Number of requests that the server runs concurrently.
     pub(crate) slots: u32,
     pub(crate) incarnation: u64,
-    pub(crate) holds: [Option<view::Snapshot>; 2],
+    pub(crate) snapshots: [Option<view::Snapshot>; 2],
     pub(crate) waiting: [VecDeque<Wait>; view::Class::PRIORITIES],
     pub(crate) ejected_until: clock::Millis,
-    /// Another server answered at its address; no requests are sent until its listed address or incarnation changes, or
-    /// it is removed from the view.
+    /// Another server answered at its address; no requests are sent until its listed address or incarnation
+    /// changes, or it is removed from the view.
     pub(crate) is_replaced: bool,
-    /// When its listed address last changed. Misdirected replies to requests sent until then do not set `is_replaced`.
+    /// When its listed address last changed. Misdirected replies to requests sent until then do not set
+    /// `is_replaced`.
     pub(crate) address_since: clock::Millis,
-    /// How little it gets while it warms up.
+    /// Request limit while the server warms up.
     pub(crate) warm_up: warm_up::WarmUp,
-    /// Its data centre is evacuated.
+    /// Whether its data centre is evacuated.
     is_evacuated: bool,
-    /// Requests that were lost there.
+    /// Requests that were lost at the server.
     pub(crate) losses: suspect::Losses,
-    /// Whether a connection is opened to learn whether it lives.
+    /// State of the connection probe that checks whether the server is alive.
     pub(crate) probe: suspect::Probe,
-    /// Until when it is passed over because attempts were silent, and how often in a row.
+    /// Until when the server is avoided because attempts were silent, and how often in a row that happened.
     silent_until: clock::Millis,
-    silences: u32,
-    /// When it last said anything.
-    word_at: clock::Millis,
+    consecutive_silences: u32,
+    /// When the server last sent anything.
+    last_active: clock::Millis,
     limit: f64,
-    /// When the concurrency was last cut for the server's queue.
-    cut_at: clock::Millis,
-    /// Moving average of the time to an answer, relative to what is usual in the class.
+    /// When the limit was last cut because of the server's queue.
+    decreased_at: clock::Millis,
+    /// Moving average of the reply time, relative to the class's median.
     slowness: f64,
     /// Moving average of attempts that were refused, failed or lost: 0 for none, 1 for all.
-    trouble: f64,
-    /// When the two averages were last brought up to date.
-    evidence_at: clock::Millis,
-    answered: u64,
-    failures: u32,
-    ejections: u32,
+    failure_rate: f64,
+    /// When the two averages were last updated.
+    sampled_at: clock::Millis,
+    answers: u64,
+    consecutive_failures: u32,
+    consecutive_ejections: u32,
     shed_until: clock::Millis,
     load: f64,
     load_at: clock::Millis,
@@ -97,7 +98,7 @@
             share: 0,
             slots: 1,
             incarnation: 0,
-            holds: [None; 2],
+            snapshots: [None; 2],
             waiting: Default::default(),
             ejected_until: clock::Millis::ZERO,
             is_replaced: false,
@@ -107,16 +108,16 @@
             losses: suspect::Losses::default(),
             probe: suspect::Probe::default(),
             silent_until: clock::Millis::ZERO,
-            silences: 0,
-            word_at: clock::Millis::ZERO,
+            consecutive_silences: 0,
+            last_active: clock::Millis::ZERO,
             limit: COLD_LIMIT,
-            cut_at: clock::Millis::ZERO,
-            slowness: USUAL,
-            trouble: 0.0,
-            evidence_at: clock::Millis::ZERO,
-            answered: 0,
-            failures: 0,
-            ejections: 0,
+            decreased_at: clock::Millis::ZERO,
+            slowness: BASELINE_SLOWNESS,
+            failure_rate: 0.0,
+            sampled_at: clock::Millis::ZERO,
+            answers: 0,
+            consecutive_failures: 0,
+            consecutive_ejections: 0,
             shed_until: clock::Millis::ZERO,
             load: 0.0,
             load_at: clock::Millis::ZERO,
@@ -125,10 +126,10 @@
 }
 
 impl Server {
-    /// Forgets what was learned, when the server comes back under a new incarnation: its cache is
-    /// cold and its index may be another. What is in flight and waiting stays counted.
+    /// Resets the measurements when the server returns under a new incarnation: its cache is cold and its index
+    /// may differ. In-flight and queued work stays counted.
     pub(crate) fn restart(&mut self, incarnation: u64) {
-        let fresh = Self {
+        let reset = Self {
             inflight: self.inflight,
             share: self.share,
             slots: self.slots,
@@ -137,200 +138,200 @@
             probe: self.probe,
             ..Self::default()
         };
-        *self = fresh;
+        *self = reset;
     }
 
-    pub(crate) fn has_room(&self, now: clock::Millis) -> bool {
+    pub(crate) fn has_capacity(&self, now: clock::Millis) -> bool {
         self.ready_at(now) <= now && self.inflight < self.share.min(self.limit as u32)
     }
 
-    /// When the next attempt may be sent, as far as the server has a say in it.
+    /// When the server's pause after a shed and its warm-up allow the next attempt.
     pub(crate) fn ready_at(&self, now: clock::Millis) -> clock::Millis {
         self.shed_until.max(self.warm_up.next_at(now).unwrap_or(clock::Millis::MAX))
     }
 
-    /// Whether this host may send it anything in the time to come.
-    pub(crate) fn is_barred(&self, now: clock::Millis) -> bool {
+    /// Whether this host may not send it any requests while it warms up.
+    pub(crate) fn is_blocked(&self, now: clock::Millis) -> bool {
         self.warm_up.next_at(now).is_none()
     }
 
-    /// Takes whether its data centre is evacuated. `true` if that has just ended: what was learned of it is of
-    /// another time, and it gets its load back by and by.
+    /// Sets whether its data centre is evacuated. Returns `true` if the evacuation has just ended: the
+    /// measurements are out of date then and are reset, so that load returns gradually.
     pub(crate) fn set_evacuated(&mut self, is_evacuated: bool) -> bool {
-        let is_back = self.is_evacuated && !is_evacuated;
+        let is_reinstated = self.is_evacuated && !is_evacuated;
         self.is_evacuated = is_evacuated;
-        if is_back {
+        if is_reinstated {
             self.limit = COLD_LIMIT;
-            self.answered = 0;
-            self.slowness = USUAL;
-            self.trouble = 0.0;
+            self.answers = 0;
+            self.slowness = BASELINE_SLOWNESS;
+            self.failure_rate = 0.0;
         }
-        is_back
+        is_reinstated
     }
 
     pub(crate) fn is_ejected(&self, now: clock::Millis) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether it was left out and has not answered since.
+    /// Whether it was ejected and has not answered since.
     pub(crate) fn was_ejected(&self) -> bool {
-        self.ejections > 0
+        self.consecutive_ejections > 0
     }
 
     pub(crate) fn is_silent(&self, now: clock::Millis) -> bool {
         self.silent_until > now
     }
 
-    /// An attempt has been silent for longer than most. The server is passed over by all queries
-    /// until it speaks, or for a pause that doubles each time that an attempt after it is silent too.
-    /// The pause, if it begins now.
-    pub(crate) fn note_silent(&mut self, now: clock::Millis, base: clock::Millis) -> Option<clock::Millis> {
+    /// Marks the server as silent after an attempt without a reply for longer than most. All queries avoid it
+    /// until it sends something, or for a pause that doubles with each consecutive silence. Returns the pause
+    /// if it begins now.
+    pub(crate) fn mark_silent(&mut self, now: clock::Millis, base: clock::Millis) -> Option<clock::Millis> {
         if base == clock::Millis::ZERO || self.is_silent(now) {
             return None;
         }
-        let pause = clock::Millis(base.0 << self.silences.min(SILENCE_DOUBLINGS));
+        let pause = clock::Millis(base.0 << self.consecutive_silences.min(MAX_SILENCE_DOUBLINGS));
         self.silent_until = now + pause;
-        self.silences += 1;
+        self.consecutive_silences += 1;
         Some(pause)
     }
 
-    /// The server said something, whatever it was.
-    pub(crate) fn on_word(&mut self, now: clock::Millis) {
-        self.word_at = now;
+    /// Records that the server sent something, of whatever kind.
+    pub(crate) fn on_activity(&mut self, now: clock::Millis) {
+        self.last_active = now;
         self.silent_until = clock::Millis::ZERO;
-        self.silences = 0;
+        self.consecutive_silences = 0;
     }
 
-    /// Shards that wait here and go before one of `priority`.
+    /// Number of shards queued here ahead of a new one of `priority`.
     pub(crate) fn waiting_ahead(&self, priority: usize) -> usize {
         self.waiting.iter().take(priority + 1).map(VecDeque::len).sum()
     }
 
-    /// How long a shard waits behind `ahead` others, if attempts usually take `usual`.
-    pub(crate) fn expected_wait(&self, ahead: usize, usual: clock::Millis) -> clock::Millis {
+    /// Expected wait of a shard behind `ahead` others, where `median` is the median attempt time.
+    pub(crate) fn expected_wait(&self, ahead: usize, median: clock::Millis) -> clock::Millis {
         let rounds = (ahead + 1) as f64 / self.limit.min(f64::from(self.share)).max(1.0);
-        usual.scale(rounds * self.slowness.max(USUAL))
+        median.scale(rounds * self.slowness.max(BASELINE_SLOWNESS))
     }
 
-    /// Whether it said anything after `since`.
-    pub(crate) fn spoke_since(&self, since: clock::Millis) -> bool {
-        self.word_at > since
+    /// Whether it sent anything after `since`.
+    pub(crate) fn was_active_since(&self, since: clock::Millis) -> bool {
+        self.last_active > since
     }
 
     pub(crate) fn waiting_len(&self) -> usize {
         self.waiting.iter().map(VecDeque::len).sum()
     }
 
-    /// Expected time to an answer if asked now, relative to what is usual; smaller is better.
+    /// Expected reply time of a new attempt, relative to the class's median; lower is better.
     pub(crate) fn score(&self, now: clock::Millis, load_weight: f64) -> f64 {
         let queue = (u64::from(self.inflight) + self.waiting_len() as u64 + 1) as f64;
         let age = now.since(self.load_at).0 as f64;
-        let hint = load_weight * self.load * (0.5_f64).powf(age / LOAD_HALF_LIFE);
-        let left = self.evidence_left(now);
-        let slowness = USUAL + (self.slowness - USUAL) * left;
-        (queue + hint) * slowness.max(0.1) * (1.0 + TROUBLE_COST * self.trouble * left)
+        let reported_load = load_weight * self.load * (0.5_f64).powf(age / LOAD_HALF_LIFE);
+        let weight = self.sample_weight(now);
+        let slowness = BASELINE_SLOWNESS + (self.slowness - BASELINE_SLOWNESS) * weight;
+        (queue + reported_load) * slowness.max(0.1) * (1.0 + FAILURE_PENALTY * self.failure_rate * weight)
     }
 
-    /// What is left of the weight of the evidence.
-    fn evidence_left(&self, now: clock::Millis) -> f64 {
-        (0.5_f64).powf(now.since(self.evidence_at).0 as f64 / EVIDENCE_HALF_LIFE)
+    /// Remaining weight of the samples.
+    fn sample_weight(&self, now: clock::Millis) -> f64 {
+        (0.5_f64).powf(now.since(self.sampled_at).0 as f64 / SAMPLE_HALF_LIFE)
     }
 
-    fn add_evidence(&mut self, now: clock::Millis, slowness: Option<f64>, trouble: f64) {
-        let left = self.evidence_left(now);
-        self.slowness = USUAL + (self.slowness - USUAL) * left;
-        self.trouble *= left;
-        self.evidence_at = now;
-        self.trouble += SAMPLE_WEIGHT * (trouble - self.trouble);
+    fn add_sample(&mut self, now: clock::Millis, slowness: Option<f64>, failure: f64) {
+        let weight = self.sample_weight(now);
+        self.slowness = BASELINE_SLOWNESS + (self.slowness - BASELINE_SLOWNESS) * weight;
+        self.failure_rate *= weight;
+        self.sampled_at = now;
+        self.failure_rate += SAMPLE_WEIGHT * (failure - self.failure_rate);
         if let Some(sample) = slowness {
-            self.slowness += SAMPLE_WEIGHT * (sample.min(SLOWNESS_MOST) - self.slowness);
+            self.slowness += SAMPLE_WEIGHT * (sample.min(MAX_SLOWNESS) - self.slowness);
         }
     }
 
-    pub(crate) fn holds(&self, snapshot: view::Snapshot) -> bool {
-        self.holds.contains(&Some(snapshot))
+    pub(crate) fn has_snapshot(&self, snapshot: view::Snapshot) -> bool {
+        self.snapshots.contains(&Some(snapshot))
     }
 
-    /// It answered after `took`; `usual` is what attempts of the class usually take.
+    /// Records an answer after `took`; `median` is the median attempt time of the class.
     pub(crate) fn on_answer(
         &mut self,
         now: clock::Millis,
         took: clock::Millis,
-        usual: clock::Millis,
+        median: clock::Millis,
         part: &event::Part,
     ) {
-        self.add_evidence(now, Some(ratio(took, usual)), 0.0);
-        self.answered += 1;
-        self.failures = 0;
-        self.ejections = 0;
+        self.add_sample(now, Some(ratio(took, median)), 0.0);
+        self.answers += 1;
+        self.consecutive_failures = 0;
+        self.consecutive_ejections = 0;
         self.ejected_until = clock::Millis::ZERO;
-        self.adapt(now, usual, part.queue);
+        self.adapt_limit(now, median, part.queue);
         if let Some(load) = part.load {
             self.load = f64::from(load);
             self.load_at = now;
         }
     }
 
-    /// A server whose queue is longer than what it runs at once gets less from here: what waits there
-    /// waits behind everybody's requests, and what waits here goes by priority.
-    fn adapt(&mut self, now: clock::Millis, usual: clock::Millis, queue: Option<u32>) {
+    /// Cuts the limit of a server whose queue is longer than the number of requests it runs concurrently:
+    /// requests in its queue wait behind all hosts' requests, those queued here go by priority.
+    fn adapt_limit(&mut self, now: clock::Millis, median: clock::Millis, queue: Option<u32>) {
         let queue = queue.unwrap_or_default();
         if queue == 0 {
-            self.grow();
+            self.grow_limit();
             return;
         }
         let is_long = queue > self.slots;
-        if is_long && now.since(self.cut_at) >= usual {
-            self.cut_at = now;
-            self.limit = (self.limit * QUEUE_CUT).max(COLD_LIMIT);
+        if is_long && now.since(self.decreased_at) >= median {
+            self.decreased_at = now;
+            self.limit = (self.limit * QUEUE_FACTOR).max(COLD_LIMIT);
         }
     }
 
-    /// Slow start doubles a cold server's concurrency each round; later it grows by one a round.
-    fn grow(&mut self) {
-        let step = if self.answered < 16 { 1.0 } else { 1.0 / self.limit };
+    /// Slow start doubles a cold server's limit each round; later it grows by one a round.
+    fn grow_limit(&mut self) {
+        let step = if self.answers < 16 { 1.0 } else { 1.0 / self.limit };
         self.limit = (self.limit + step).min(f64::from(self.share.max(1)));
     }
 
     pub(crate) fn on_shed(&mut self, now: clock::Millis, retry_after: Option<clock::Millis>) {
-        self.add_evidence(now, None, 1.0);
-        self.limit = (self.limit * SHED_CUT).max(COLD_LIMIT);
-        let pause = retry_after.unwrap_or(SHED_PAUSE).min(SHED_PAUSE_MAX);
+        self.add_sample(now, None, 1.0);
+        self.limit = (self.limit * SHED_FACTOR).max(COLD_LIMIT);
+        let pause = retry_after.unwrap_or(DEFAULT_SHED_PAUSE).min(MAX_SHED_PAUSE);
         self.shed_until = self.shed_until.max(now + pause);
     }
 
-    /// An attempt was given up after `took`: it would have taken at least that.
-    pub(crate) fn on_silence(&mut self, now: clock::Millis, took: clock::Millis, usual: clock::Millis) {
-        let sample = ratio(took, usual);
+    /// Records an attempt that was cancelled after `took`, which is a lower bound of its latency.
+    pub(crate) fn on_cancel(&mut self, now: clock::Millis, took: clock::Millis, median: clock::Millis) {
+        let sample = ratio(took, median);
         if sample > self.slowness {
-            self.add_evidence(now, Some(sample), 0.0);
+            self.add_sample(now, Some(sample), 0.0);
         }
     }
 
-    /// Counts a failure; `true` if the server should now be left out for a while.
+    /// Records a failure; returns `true` if the server should now be ejected.
     pub(crate) fn on_failure(&mut self, now: clock::Millis, policy: &policy::Policy) -> bool {
-        self.add_evidence(now, None, 1.0);
-        self.failures += 1;
-        self.limit = (self.limit * SHED_CUT).max(COLD_LIMIT);
-        policy.ejection && self.failures >= policy.ejection_failures
+        self.add_sample(now, None, 1.0);
+        self.consecutive_failures += 1;
+        self.limit = (self.limit * SHED_FACTOR).max(COLD_LIMIT);
+        policy.ejection && self.consecutive_failures >= policy.ejection_failures
     }
 
-    /// Leaves the server out. When the time is over one attempt may try it: `limit` is one until it
-    /// answers, and a further failure ejects it again for twice as long.
+    /// Ejects the server. Afterwards one attempt may probe it: `limit` is one until it answers, and a further
+    /// failure ejects it for twice as long.
     pub(crate) fn eject(&mut self, now: clock::Millis, base: clock::Millis) {
-        let factor = 1_u64 << self.ejections.min(EJECTION_DOUBLINGS);
+        let factor = 1_u64 << self.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
         self.ejected_until = now + clock::Millis(base.0 * factor);
-        self.ejections += 1;
+        self.consecutive_ejections += 1;
         self.limit = COLD_LIMIT;
-        self.answered = 0;
+        self.answers = 0;
     }
 }
 
-fn ratio(took: clock::Millis, usual: clock::Millis) -> f64 {
-    took.0 as f64 / usual.0.max(1) as f64
+fn ratio(took: clock::Millis, median: clock::Millis) -> f64 {
+    took.0 as f64 / median.0.max(1) as f64
 }
 
-/// Whether one more of `total` servers may be out when `out` are already.
-pub(crate) fn may_eject(out: usize, total: usize, ceiling: ratio::Ratio) -> bool {
-    (out + 1) as f64 <= ceiling.get() * total as f64
+/// Whether one more of `total` servers may be ejected when `ejected` are already.
+pub(crate) fn may_eject(ejected: usize, total: usize, ceiling: ratio::Ratio) -> bool {
+    (ejected + 1) as f64 <= ceiling.get() * total as f64
 }
--- a/crates/core/src/traffic/summary.rs
+++ b/crates/core/src/traffic/summary.rs
@@ -1,4 +1,4 @@
-//! Counters of a traffic core, and the story of queries that ended lately.
+//! Counters of a traffic core, and summaries of queries that ended recently.
 
 use std::collections::VecDeque;
 
@@ -9,65 +9,65 @@
 
 use super::event;
 
-/// Queries whose story is kept for `shallotctl explain`.
-const KEPT: usize = 1024;
+/// Number of summaries kept for `shallotctl explain`.
+const CAPACITY: usize = 1024;
 
-/// Counters since the start of the core, and the present sizes of its tables.
+/// Counters since the start of the core, and the current sizes of its tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Stats {
-    /// Queries in flight or queued, now.
+    /// Queries currently in flight or queued.
     pub queries: usize,
-    /// Attempts in flight, now.
+    /// Attempts currently in flight.
     pub attempts: usize,
-    /// Request keys remembered, now.
+    /// Request keys currently remembered.
     pub keys: usize,
-    /// Timers, now.
+    /// Timers currently armed.
     pub timers: usize,
-    /// Servers left out, now.
+    /// Servers currently ejected.
     pub ejected: usize,
-    /// Servers in the view that get no new work because another server was found at their address, now.
+    /// Servers in the current view that get no new work because another server was found at their address.
     pub replaced: usize,
-    /// First attempts.
+    /// First attempts sent.
     pub first: u64,
-    /// Hedges.
+    /// Hedges sent.
     pub hedges: u64,
-    /// Retries and re-asks.
+    /// Retries sent, including repeats for a common snapshot.
     pub retries: u64,
     /// Attempts that provably never reached a server.
     pub not_sent: u64,
     /// Attempts that a server refused before running them.
     pub refused: u64,
-    /// Attempts with an unknown end.
+    /// Attempts with an unknown outcome.
     pub lost: u64,
-    /// Replies whose attempt was given up or unknown.
+    /// Replies to attempts that were cancelled or are unknown.
     pub late: u64,
     /// Queries whose replies came from more than one snapshot.
     pub mixed: u64,
-    /// Queries begun again because the shards were cut anew.
+    /// Queries restarted because the data was repartitioned.
     pub restarts: u64,
-    /// Times that the process was found to have been stopped.
+    /// Detected pauses of the process.
     pub pauses: u64,
     /// Ejections of servers.
     pub ejections: u64,
-    /// Promises that did not hold.
+    /// Invariant violations.
     pub breaches: u64,
 }
 
 /// How one query ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// Which query.
+    /// Id of the query.
     pub query: id::Query,
-    /// Its class.
+    /// Name of its class.
     pub class: CompactString,
-    /// Its fate.
+    /// Whether it ran.
     pub outcome: event::Outcome,
-    /// Why.
+    /// Why it ended as it did.
     pub code: event::Code,
     /// Time from arrival to answer.
     pub took: clock::Millis,
-    /// Its attempts.
+    /// Number of attempts made for it.
     pub cost: event::Cost,
     /// Shards that did not contribute, with the servers that were tried for each.
     pub missing: Vec<(CompactString, Vec<CompactString>)>,
@@ -75,18 +75,18 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Ring {
-    kept: VecDeque<Summary>,
+    summaries: VecDeque<Summary>,
 }
 
 impl Ring {
     pub(crate) fn push(&mut self, summary: Summary) {
-        if self.kept.len() == KEPT {
-            self.kept.pop_front();
+        if self.summaries.len() == CAPACITY {
+            self.summaries.pop_front();
         }
-        self.kept.push_back(summary);
+        self.summaries.push_back(summary);
     }
 
     pub(crate) fn find(&self, query: id::Query) -> Option<&Summary> {
-        self.kept.iter().rev().find(|summary| summary.query == query)
+        self.summaries.iter().rev().find(|summary| summary.query == query)
     }
 }
--- a/crates/core/src/traffic/timer.rs
+++ b/crates/core/src/traffic/timer.rs
@@ -1,34 +1,34 @@
-//! The table of timers: a heap by instant, checked against the tables when one fires.
+//! The timers of a core: a heap ordered by time, whose entries are validated when they fire.
 //!
-//! A timer is never cancelled. It names an entity by generational key, so one that outlived its
-//! entity misses when it fires.
+//! Timers are never cancelled. They refer to entities by generational key, so a timer that outlives its entity
+//! is ignored when it fires.
 
 use std::{cmp, collections};
 
 use crate::{clock, id};
 
-/// What to do when the instant comes.
+/// Action to take when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The query's deadline.
+    /// End the query at its deadline.
     Deadline(id::Query),
-    /// The class's settle time for the query.
+    /// Answer the query if it has enough coverage by its settle time.
     Settle(id::Query),
-    /// Look for attempts of the query that deserve a hedge.
+    /// Check the query for attempts to hedge.
     Hedge(id::Query),
-    /// Ask a shard of the query again.
+    /// Retry a shard of the query.
     Retry(id::Query, u32),
-    /// The server may take work again.
+    /// Send the work queued for the server.
     Pump(id::Server),
-    /// The server has seen the close of a cancelled attempt's connection.
-    Closed(id::Server),
-    /// The query was not granted the trial that it asked for.
-    Trial(id::Query),
-    /// Open a connection to the server, to learn whether it lives.
+    /// Release the connection of a cancelled attempt, which the server has closed by now.
+    ConnectionClosed(id::Server),
+    /// End the query if the trial that it requested was not granted.
+    TrialTimeout(id::Query),
+    /// Probe whether the server is alive by opening a connection.
     Probe(id::Server),
-    /// That took too long.
-    ProbeEnd(id::Server),
-    /// The grace after a pause ends.
+    /// End the server's connection probe.
+    ProbeTimeout(id::Server),
+    /// Resume sending after the grace period of a pause.
     Resume,
 }
 
@@ -44,7 +44,7 @@
         self.entries.push(cmp::Reverse((at, self.sequence, timer)));
     }
 
-    /// The next timer that is due at `now`.
+    /// Removes and returns the next timer that is due at `now`.
     pub(crate) fn pop(&mut self, now: clock::Millis) -> Option<Timer> {
         let cmp::Reverse((at, ..)) = self.entries.peek()?;
         if *at > now {
--- a/crates/core/src/traffic/warm_up.rs
+++ b/crates/core/src/traffic/warm_up.rs
@@ -1,15 +1,16 @@
-//! Servers that warm up: how little each host sends them, so that all hosts together send no more than they bear.
+//! Warm-up of servers: limits what each host sends, so that all hosts together stay within a cold server's
+//! rate.
 //!
-//! A server that has just started crashes under a load that a warm one does not notice, and when the servers of a
-//! data centre come back together, each host would send each of them its first requests in the same moment. Nobody
-//! counts for all hosts. So the right to send is cut: of the hosts that ask such a server at all, as many as it
-//! bears requests in a second may send it one at a time, each with a pause of more than a second before the next.
-//! Whoever may is the same on all hosts that know the same others, and hosts that are cut off from each other go on
-//! knowing each other for a minute, so both sides of a cut have one set of senders. A host that has started a
-//! moment ago may know few others, and sends none.
+//! A server that has just started crashes under a load that a warm one handles easily, and when the servers of
+//! a data centre return together, each host would send each of them its first requests at the same moment. No
+//! counter is shared between hosts. Instead, the right to send is partitioned: of the hosts that query such a
+//! server at all, as many as it can take requests in a second may send it one at a time, each with a pause of
+//! more than a second in between. All hosts that know the same members choose the same senders, and hosts that
+//! are partitioned from each other keep each other as members for a minute, so both sides of a partition have
+//! one set of senders. A host that has just started may know few others, and sends none.
 //!
-//! Requests go to warm servers of the same shard while these have room; what is sent here is for shards that have
-//! no such server.
+//! Requests go to warm servers of the same shard while these have free capacity; requests are sent to a cold
+//! server only for shards without such a server.
 
 use std::cmp;
 
@@ -17,17 +18,18 @@
 
 use crate::{clock, rendezvous, view};
 
-/// Least time between two requests of a host, in ms: in no second are there two, also when the first one's
-/// connection took a quarter of a second to open, which is the longest that a host waits for it.
-const PAUSE_LEAST: f64 = 1250.0;
-/// Part of the slack that is used. The rest is for the moments in which hosts know different others.
-const SLACK_PART: f64 = 0.5;
-/// Longest that a server counts as warming up by its own word, in ms, if nothing else is heard of it: its word that
-/// it is warm may be lost with the registry. Longer than outages of a registry in which others hear it.
-const WORD_MOST: clock::Millis = clock::Millis(30_000);
+/// Minimum time between two requests of a host, in ms. Keeps two requests out of any one second even if the
+/// first one's connection took 250 ms to open, the longest that a host waits for it.
+const MIN_PAUSE: f64 = 1250.0;
+/// Fraction of the slack that is used. The rest covers moments in which hosts know different members.
+const SLACK_FRACTION: f64 = 0.5;
+/// Maximum time that a server counts as warming up on its own report if no further one arrives, in ms: the
+/// report that it is warm may be lost with the registry. Longer than registry outages in which other hosts
+/// receive the report.
+const MAX_REPORTED_SPAN: clock::Millis = clock::Millis(30_000);
 
-/// The pause after each request of `host` to `server`; `None` if it may send none. `senders` are all hosts that may
-/// be chosen.
+/// The pause after each request of `host` to `server`; `None` if it may send none. `senders` are all hosts that
+/// may be chosen.
 pub fn pause(
     server: &str,
     rate: f64,
@@ -35,49 +37,50 @@
     host: &str,
     senders: &[CompactString],
 ) -> Option<clock::Millis> {
-    let bound = rate * tolerance.overage + SLACK_PART * tolerance.slack;
+    let bound = rate * tolerance.overage + SLACK_FRACTION * tolerance.slack;
     let count = senders.len().min(bound.max(1.0) as usize);
     let weight = |host: &str| cmp::Reverse(rendezvous::weight(server, host));
-    let own = (weight(host), host);
-    let before = senders.iter().filter(|other| (weight(other), other.as_str()) < own).count();
-    if count == 0 || before >= count || !senders.iter().any(|other| other == host) {
+    let own_key = (weight(host), host);
+    let rank = senders.iter().filter(|other| (weight(other), other.as_str()) < own_key).count();
+    if count == 0 || rank >= count || !senders.iter().any(|other| other == host) {
         return None;
     }
-    // With so few hosts that each may send some in a second, one less than its part: the window may begin with one.
-    let each = ((bound / count as f64) as u64).saturating_sub(1).max(1);
-    let pause = (count as f64 * 1000.0 / rate).max(PAUSE_LEAST / each as f64);
+    // With so few hosts that each may send several requests a second, one less than its share: the window may
+    // begin with one.
+    let per_host = ((bound / count as f64) as u64).saturating_sub(1).max(1);
+    let pause = (count as f64 * 1000.0 / rate).max(MIN_PAUSE / per_host as f64);
     Some(clock::Millis(pause.ceil() as u64))
 }
 
-/// Whether a server warms up, and when this host may send it the next request.
+/// Warm-up state of a server, and when this host may send it the next request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WarmUp {
     /// Until when it counts as warming up.
     until: clock::Millis,
-    /// Whether it says so itself.
-    says: bool,
+    /// Whether the server itself reports that it warms up.
+    is_reported: bool,
     /// The pause after each request; `None` if this host may send none.
     pause: Option<clock::Millis>,
     next_at: clock::Millis,
 }
 
 impl WarmUp {
-    /// Takes what the view in force says. `is_back` if the server gets work again after an evacuation: it may have
-    /// become cold shortly before, and its own word comes later.
-    pub(crate) fn take(&mut self, now: clock::Millis, published: Option<&view::WarmUp>, is_back: bool) {
+    /// Updates the state from the current view. `is_reinstated` is set if the server gets work again after an
+    /// evacuation: it may have become cold shortly before, and its own report arrives later.
+    pub(crate) fn update(&mut self, now: clock::Millis, published: Option<&view::WarmUp>, is_reinstated: bool) {
         let Some(published) = published else {
             *self = Self::default();
             return;
         };
         let was_cold = self.is_cold(now);
-        if published.is_warming && !self.says {
-            self.until = now + WORD_MOST.max(published.span);
+        if published.is_warming && !self.is_reported {
+            self.until = now + MAX_REPORTED_SPAN.max(published.span);
         }
-        if !published.is_warming && self.says {
+        if !published.is_warming && self.is_reported {
             self.until = now;
         }
-        self.says = published.is_warming;
-        if is_back {
+        self.is_reported = published.is_warming;
+        if is_reinstated {
             self.until = self.until.max(now + published.span);
         }
         if !was_cold && self.is_cold(now) {
@@ -107,11 +110,11 @@
         self.next_at(now) == Some(now)
     }
 
-    /// A request is sent. `false` if it was not allowed.
+    /// Records a sent request. Returns `false` if it was not allowed.
     pub(crate) fn on_sent(&mut self, now: clock::Millis) -> bool {
         let was_allowed = self.may_send(now);
         if self.is_cold(now) {
-            self.next_at = now + self.pause.unwrap_or(WORD_MOST);
+            self.next_at = now + self.pause.unwrap_or(MAX_REPORTED_SPAN);
         }
         was_allowed
     }
--- a/crates/core/src/traffic/why.rs
+++ b/crates/core/src/traffic/why.rs
@@ -1,4 +1,4 @@
-//! What decided that an answer is not whole, for the log and for whoever explains it to a caller.
+//! Reasons why an answer is incomplete or late, for the log and for explaining it to a caller.
 
 use std::fmt;
 
@@ -6,85 +6,85 @@
 
 use crate::{clock, suspect};
 
-/// Most shards that are named; the rest is counted.
-const NAMED: usize = 4;
+/// Maximum number of shards listed by name; the rest is counted.
+const MAX_LISTED: usize = 4;
 
-/// The inputs of a decision against a request, or what was still waited for.
+/// The inputs of a decision to refuse or end a request, or the shards that were still pending.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Why {
-    /// The code says it all.
+    /// No detail beyond the code.
     #[default]
-    Plain,
+    CodeOnly,
     /// Too few shards have a server that takes new work.
     Closed {
-        /// Shards that have one.
+        /// Number of shards that have one.
         open: usize,
-        /// All shards.
+        /// Total number of shards.
         shards: usize,
-        /// Some of the others, with what each of their servers is.
+        /// Shards without one, with the state of each of their servers.
         closed: Vec<Closed>,
     },
-    /// Too many requests of its class run and wait here already.
+    /// Too many requests of the class are running or queued.
     Queue {
-        /// Requests that run, and the most that may.
+        /// Number of running requests.
         running: u32,
-        /// The most that may run.
+        /// Maximum number of running requests.
         limit: u32,
-        /// Requests that wait.
+        /// Number of queued requests.
         waiting: usize,
-        /// Expected wait of one more.
+        /// Expected wait of a new request.
         wait: clock::Millis,
-        /// What most runs take.
+        /// 90th percentile of run times.
         run: clock::Millis,
-        /// What the caller gives.
-        patience: clock::Millis,
+        /// The caller's timeout.
+        timeout: clock::Millis,
     },
-    /// It waited for its turn for too long.
+    /// It was queued for too long.
     Waited {
-        /// How long.
+        /// Time spent in the queue.
         wait: clock::Millis,
-        /// What a run usually takes.
+        /// Median run time.
         run: clock::Millis,
-        /// What was left.
-        left: clock::Millis,
+        /// Time left until the deadline.
+        remaining: clock::Millis,
     },
-    /// The servers have too much to do for an answer in time.
+    /// The servers have too little capacity for an answer in time.
     Busy {
-        /// Expected wait for room at the servers that are needed.
+        /// Expected wait for capacity at the servers that are needed.
         wait: clock::Millis,
-        /// What most attempts take.
+        /// 80th percentile of attempt times.
         attempt: clock::Millis,
-        /// Time until the answer would have to be there.
-        left: clock::Millis,
+        /// Time left until the answer is due.
+        remaining: clock::Millis,
     },
-    /// The caller gives too little time.
-    Late {
-        /// What it gives.
-        patience: clock::Millis,
+    /// The caller's timeout is too short.
+    ShortTimeout {
+        /// The caller's timeout.
+        timeout: clock::Millis,
     },
-    /// The process was stopped a while ago, and nobody has confirmed its view since.
+    /// The process was suspended, and its view has not been confirmed since.
     Paused {
-        /// How long ago it went on.
-        ago: clock::Millis,
+        /// Time since the process resumed.
+        since_resume: clock::Millis,
     },
-    /// Servers died of the request, and it is not run for a while.
+    /// The request crashed servers and is not run for a while.
     Crashes {
-        /// What was asked.
+        /// Fingerprint of the request.
         fingerprint: suspect::Fingerprint,
-        /// For how long from now.
-        left: clock::Millis,
+        /// Time until it may be tried again.
+        retry_after: clock::Millis,
     },
-    /// Attempts without a reply when the answer left.
+    /// Attempts without a reply when the answer was sent.
     Silent(Vec<Silent>),
-    /// The part that came last.
+    /// The shard that was answered last.
     Last {
-        /// Its shard.
+        /// Name of the shard.
         shard: CompactString,
-        /// The server that gave it.
+        /// Name of the server that answered.
         server: CompactString,
-        /// Time from the request to the attempt.
-        sent: clock::Millis,
-        /// What the attempt took.
+        /// Time from the request's arrival to the attempt.
+        sent_after: clock::Millis,
+        /// Time from the attempt to the end of the query.
         took: clock::Millis,
     },
 }
@@ -92,71 +92,77 @@
 /// A shard without a server that takes new work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Closed {
-    /// The shard.
+    /// Name of the shard.
     pub shard: CompactString,
-    /// Its servers, with what keeps each from new work.
+    /// Its servers, each with the reason why it takes no new work.
     pub servers: Vec<(CompactString, &'static str)>,
 }
 
-/// A shard that was still waited for.
+/// A shard that was still pending.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Silent {
-    /// The shard.
+    /// Name of the shard.
     pub shard: CompactString,
-    /// The server; empty if the shard waited for room at one.
+    /// Name of the server; empty if the shard waited for capacity at one.
     pub server: CompactString,
-    /// For how long.
-    pub since: clock::Millis,
+    /// Time since the attempt was sent, or since the request's arrival if none was.
+    pub elapsed: clock::Millis,
 }
 
 impl fmt::Display for Why {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Plain => Ok(()),
+            Self::CodeOnly => Ok(()),
             Self::Closed { open, shards, closed } => {
                 write!(f, "{open} of {shards} shards have a server")?;
-                for row in closed.iter().take(NAMED) {
-                    write!(f, "; {}:", row.shard)?;
-                    if row.servers.is_empty() {
+                for entry in closed.iter().take(MAX_LISTED) {
+                    write!(f, "; {}:", entry.shard)?;
+                    if entry.servers.is_empty() {
                         write!(f, " none is listed")?;
                     }
-                    for (server, state) in row.servers.iter().take(NAMED) {
+                    for (server, state) in entry.servers.iter().take(MAX_LISTED) {
                         write!(f, " {server} {state}")?;
                     }
                 }
-                rest(f, closed.len())
+                write_omitted(f, closed.len())
             }
-            Self::Queue { running, limit, waiting, wait, run, patience } => {
+            Self::Queue { running, limit, waiting, wait, run, timeout } => {
                 write!(
                     f,
-                    "{running} of {limit} run, {waiting} wait for about {wait}, a run takes {run}, the caller gives {patience}"
+                    "{running} of {limit} run, {waiting} wait for about {wait}, a run takes {run}, the caller gives {timeout}"
                 )
             }
-            Self::Waited { wait, run, left } => write!(f, "waited {wait}, a run takes {run}, {left} are left"),
-            Self::Busy { wait, attempt, left } => {
-                write!(f, "servers have room in about {wait}, an attempt takes {attempt}, {left} are left")
+            Self::Waited { wait, run, remaining } => {
+                write!(f, "waited {wait}, a run takes {run}, {remaining} are left")
             }
-            Self::Late { patience } => write!(f, "the caller gives {patience}"),
-            Self::Paused { ago } => write!(f, "the process went on {ago} ago, and its view is not confirmed"),
-            Self::Crashes { fingerprint, left } => write!(f, "request {fingerprint} is not run for {left}"),
-            Self::Last { shard, server, sent, took } => {
-                write!(f, "the last part was {shard} from {server}, asked after {sent}, which took {took}")
+            Self::Busy { wait, attempt, remaining } => {
+                write!(f, "servers have room in about {wait}, an attempt takes {attempt}, {remaining} are left")
             }
-            Self::Silent(rows) => {
-                for (place, row) in rows.iter().take(NAMED).enumerate() {
-                    let comma = if place > 0 { ", " } else { "" };
-                    let server = if row.server.is_empty() { "room" } else { &row.server };
-                    write!(f, "{comma}{} waits for {server} since {}", row.shard, row.since)?;
+            Self::ShortTimeout { timeout } => write!(f, "the caller gives {timeout}"),
+            Self::Paused { since_resume } => {
+                write!(f, "the process went on {since_resume} ago, and its view is not confirmed")
+            }
+            Self::Crashes { fingerprint, retry_after } => {
+                write!(f, "request {fingerprint} is not run for {retry_after}")
+            }
+            Self::Last { shard, server, sent_after, took } => {
+                write!(f, "the last part was {shard} from {server}, asked after {sent_after}, which took {took}")
+            }
+            Self::Silent(silent) => {
+                for (index, entry) in silent.iter().take(MAX_LISTED).enumerate() {
+                    let comma = if index > 0 { ", " } else { "" };
+                    let server = if entry.server.is_empty() { "room" } else { &entry.server };
+                    write!(f, "{comma}{} waits for {server} since {}", entry.shard, entry.elapsed)?;
                 }
-                rest(f, rows.len())
+                write_omitted(f, silent.len())
             }
         }
     }
 }
 
-fn rest(f: &mut fmt::Formatter<'_>, count: usize) -> fmt::Result {
-    match count.checked_sub(NAMED) {
+fn write_omitted(f: &mut fmt::Formatter<'_>, count: usize) -> fmt::Result {
+    match count.checked_sub(MAX_LISTED) {
         None | Some(0) => Ok(()),
-        Some(rest) => write!(f, "; and {rest} more"),
+        Some(omitted) => write!(f, "; and {omitted} more"),
     }
 }
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -282,7 +282,7 @@
     let name = answer.name.as_deref().unwrap_or_default();
     let missing = format_compact!("{}", core.missing.join(","));
     // What decided it, and by which configuration and which list of servers; of a whole answer nobody asks.
-    let why = (core.why != why::Why::Plain).then(|| tracing::field::display(&core.why));
+    let why = (core.why != why::Why::CodeOnly).then(|| tracing::field::display(&core.why));
     let versions = (core.code != event::Code::Ok).then(|| shell.versions());
     tracing::info!(
         request,
