--- a/crates/core/src/control/gossip.rs
+++ b/crates/core/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Host to host: digests, which repair what pushes lost, and members, who are found by them.
+//! Gossip between hosts: digests repair lost pushes and disseminate membership.
 
 use compact_str::CompactString;
 use rand::Rng;
@@ -10,35 +10,35 @@
     views::{COMPILE_PAUSE, JOINED_PAUSE},
 };
 
-/// Time after which a digest counts as not answered, in ms. An answer takes some milliseconds; a host with a
-/// tenth of a core that does much else takes a hundred.
-const REPLY_PATIENCE: clock::Millis = clock::Millis(500);
-/// Silence of all other hosts, in ms, after which this one is cut off from them. In calm it hears from two or
-/// more in each second.
-const CUT_OFF: clock::Millis = clock::Millis(2000);
-/// Most digests a second, on average, that a watching host gets from those for which it watches, besides the
-/// usual ones. They notice its death sooner than a random host would.
+/// Time after which a digest counts as unanswered. A reply takes a few milliseconds, or 100 ms on a busy host
+/// with a tenth of a core.
+const REPLY_TIMEOUT: clock::Millis = clock::Millis(500);
+/// Time without messages from any other host after which this one counts as partitioned. In normal operation it
+/// receives messages from two or more hosts each second.
+const PARTITION_TIMEOUT: clock::Millis = clock::Millis(2000);
+/// Maximum average number of additional digests per second that a watcher receives from the hosts of its data
+/// centre. They detect its failure sooner than random probes would.
 const WATCHER_PROBES: f64 = 8.0;
-/// Part of the exchanges in which a seed is asked too.
-const SEED_PART: f64 = 0.1;
-/// Most digests a second, on average, that all hosts together send to seeds besides the usual ones. It is for
-/// two halves of a fleet that lost each other, and one host of each that finds the other half is enough.
+/// Maximum probability of also probing a seed in a round.
+const SEED_PROBABILITY: f64 = 0.1;
+/// Maximum average number of additional digests per second that all hosts together send to seeds. They rejoin the
+/// two halves of a partitioned fleet, for which one host that reaches the other half is enough.
 const SEED_PROBES: f64 = 6.0;
-/// Hosts of each data centre told at once that this one leaves; the others hear of it from them.
-const TOLD_OF_LEAVING: usize = 2;
-/// Time after the start for which a host may not have heard of many others, unless one that has been up
-/// for longer told it. Three or four rounds of digests spread the word among a hundred hosts.
-const JOINING: clock::Millis = clock::Millis(1500);
-/// Pause between two exchanges in that time.
-const JOINING_PAUSE: clock::Millis = clock::Millis(150);
-/// Time after the start for which servers may still count connections of the fleet before, if it died as a
+/// Hosts of each data centre that are notified at once when this one leaves; they notify the others by gossip.
+const LEAVE_FANOUT: usize = 2;
+/// Time after the start for which a host's member list may be incomplete, unless a settled host has sent it the
+/// full list. Three or four rounds of digests reach a hundred hosts.
+const JOINING_PERIOD: clock::Millis = clock::Millis(1500);
+/// Interval between rounds of digests in the joining period.
+const JOINING_INTERVAL: clock::Millis = clock::Millis(150);
+/// Time after the start for which servers may still count connections of the previous fleet, if it failed as a
 /// whole: a machine that loses power closes none, and servers keep idle ones for some seconds.
-const REBORN: clock::Millis = clock::Millis(8000);
-/// Shortest pause between two exchanges of digests.
-const GOSSIP_LEAST: clock::Millis = clock::Millis(50);
+const REBORN_PERIOD: clock::Millis = clock::Millis(8000);
+/// Minimum interval between two rounds of digests.
+const MIN_GOSSIP_INTERVAL: clock::Millis = clock::Millis(50);
 
 impl Core {
-    pub(super) fn say(&mut self, to: CompactString, body: message::Body) {
+    pub(super) fn send(&mut self, to: CompactString, body: message::Body) {
         let from = self.identity.peer.clone();
         let message = message::Message { protocol: message::PROTOCOL, from, body };
         let packs = self.members.packs(&to);
@@ -47,19 +47,19 @@
 
     fn digest(
         &mut self,
-        to: &member::Reader<'_>,
+        recipient: &member::Recipient<'_>,
         sent: Option<clock::Millis>,
         echo: Option<clock::Millis>,
     ) -> message::Body {
-        let members = self.named_members(to);
-        let parts = match to {
-            member::Reader::Unheard => self.members.parts(),
-            member::Reader::Told { differs, .. } => differs.len(),
+        let members = self.named_members(recipient);
+        let bucket_count = match recipient {
+            member::Recipient::Unknown => self.members.bucket_count(),
+            member::Recipient::Known { differing, .. } => differing.len(),
         };
         message::Body::Digest(Box::new(message::Digest {
             members,
             known: self.members.count() as u32,
-            members_digest: self.members_digest(parts),
+            members_digest: self.members_digest(bucket_count),
             suspects: self.suspects.table.digest(),
             is_settled: self.standing == Standing::Settled,
             is_away: self.registry.held.is_away(),
@@ -71,12 +71,12 @@
         }))
     }
 
-    /// This host and some that it knows.
-    fn named_members(&mut self, to: &member::Reader<'_>) -> Vec<message::Member> {
+    /// The members to include in a digest to `recipient`, and this host.
+    fn named_members(&mut self, recipient: &member::Recipient<'_>) -> Vec<message::Member> {
         if matches!(self.reader.source, Source::Documents) {
             return Vec::new();
         }
-        let mut members = self.members.named(self.now, to, &mut self.random);
+        let mut members = self.members.select_for(self.now, recipient, &mut self.random);
         members.push(self.this_member());
         members
     }
@@ -88,28 +88,28 @@
             data_centre: self.identity.data_centre.clone(),
             relay: self.identity.relay.clone(),
             power: self.identity.power,
-            turn: self.turn,
+            incarnation: self.incarnation,
             packs: true,
             state: if self.is_leaving { message::State::Leaving } else { message::State::Alive },
         }
     }
 
-    /// Digests of all members, this host included, in `parts` parts; none where documents list them.
-    fn members_digest(&mut self, parts: usize) -> Vec<u32> {
+    /// Digests of all members, this host included, by bucket; empty if documents list the hosts.
+    fn members_digest(&mut self, bucket_count: usize) -> Vec<u32> {
         if matches!(self.reader.source, Source::Documents) {
             return Vec::new();
         }
         let this = self.this_member();
-        self.members.digest(parts, &this)
+        self.members.digests(bucket_count, &this)
     }
 
-    fn hear_of(&mut self, from: &CompactString, members: &[message::Member]) {
-        if self.members.is_doubtful(from) {
-            // It may have been cut off. What was sent meanwhile can hold up the connection for as long again, and
-            // what this host answers would not arrive.
+    fn merge_members(&mut self, from: &CompactString, members: &[message::Member]) {
+        if self.members.is_unresponsive(from) {
+            // It may have been partitioned. Data sent meanwhile can stall the connection for as long again, and this
+            // host's replies would not arrive.
             self.outputs.push(Output::Reconnect { to: from.clone() });
         }
-        let is_back = self.members.hear_from(self.now, from) != member::News::None;
+        let is_back = self.members.mark_alive(self.now, from) != member::Change::None;
         if is_back {
             self.outputs.push(Output::Note(note::Note::Replies { peer: from.clone() }));
         }
@@ -117,12 +117,12 @@
         let mut joined = Vec::new();
         for member in members {
             if member.peer == self.identity.peer {
-                self.contradict(member);
+                self.refute(member);
                 continue;
             }
-            let news = self.members.hear(self.now, member);
-            has_changed |= news == member::News::Changed;
-            if news == member::News::Joined {
+            let change = self.members.merge(self.now, member);
+            has_changed |= change == member::Change::Updated;
+            if change == member::Change::Joined {
                 joined.push(member.name.clone());
             }
         }
@@ -138,55 +138,55 @@
         }
     }
 
-    /// Others say of this host what is not so: a later turn makes its own word the one that holds.
-    fn contradict(&mut self, member: &message::Member) {
+    /// Refutes an outdated or false record of this host with a higher incarnation number, which takes precedence.
+    fn refute(&mut self, member: &message::Member) {
         let is_wrong =
             member.state == message::State::Silent || member.state > message::State::Alive && !self.is_leaving;
-        if member.turn > self.turn || member.turn == self.turn && is_wrong {
-            self.turn = member.turn + 1;
+        if member.incarnation > self.incarnation || member.incarnation == self.incarnation && is_wrong {
+            self.incarnation = member.incarnation + 1;
         }
     }
 
-    /// Counts members that did not reply, asks doubtful ones again, and forgets those long gone.
-    fn review_members(&mut self) {
-        self.review_at = clock::Millis::MAX;
-        let review = self.members.review(self.now, self.heard_at, REPLY_PATIENCE);
-        let lost_watcher = review.unanswered.iter().any(|peer| self.watcher_peers.contains(peer));
-        if lost_watcher {
+    /// Handles members that did not reply: marks them silent or probes them again, and removes expired ones.
+    fn check_replies(&mut self) {
+        self.reply_check_at = clock::Millis::MAX;
+        let timeouts = self.members.take_timeouts(self.now, self.last_received_at, REPLY_TIMEOUT);
+        let has_lost_watcher = timeouts.timed_out.iter().any(|peer| self.watcher_peers.contains(peer));
+        if has_lost_watcher {
             self.look_at_registry();
         }
-        let has_news = !review.silent.is_empty();
-        if has_news {
-            self.outputs.push(Output::Note(note::Note::Silent { names: review.silent }));
+        let has_silent = !timeouts.silent.is_empty();
+        if has_silent {
+            self.outputs.push(Output::Note(note::Note::Silent { names: timeouts.silent }));
         }
-        for to in review.unanswered {
+        for to in timeouts.timed_out {
             self.outputs.push(Output::Reconnect { to });
         }
-        for peer in review.doubtful {
+        for peer in timeouts.retries {
             self.send_digest(peer);
         }
-        let is_forgotten = self.members.forget(self.now, self.policy.member_forget);
-        if is_forgotten {
+        let has_removed = self.members.remove_expired(self.now, self.policy.member_forget);
+        if has_removed {
             let known = self.members.count();
             self.outputs.push(Output::Note(note::Note::Forgotten { known }));
         }
-        if has_news || is_forgotten {
+        if has_silent || has_removed {
             self.refresh_peers();
             self.compile_after(COMPILE_PAUSE);
         }
     }
 
     fn send_digest(&mut self, to: CompactString) {
-        self.members.ask(self.now, &to);
-        self.review_at = self.review_at.min(self.now + REPLY_PATIENCE);
-        let body = self.digest(&member::Reader::Unheard, Some(self.now), None);
-        self.say(to, body);
+        self.members.record_probe(self.now, &to);
+        self.reply_check_at = self.reply_check_at.min(self.now + REPLY_TIMEOUT);
+        let body = self.digest(&member::Recipient::Unknown, Some(self.now), None);
+        self.send(to, body);
     }
 
-    /// Compares digests with a few random hosts when it is time, and looks who did not answer.
+    /// Sends digests to a few random hosts when the next round is due, and checks for missing replies.
     pub(super) fn gossip(&mut self) {
-        if self.review_at <= self.now {
-            self.review_members();
+        if self.reply_check_at <= self.now {
+            self.check_replies();
         }
         if self.gossip_at > self.now {
             return;
@@ -199,43 +199,44 @@
                 jitter /= 8;
                 start::PAUSE
             }
-            (_, Standing::Joining) => JOINING_PAUSE,
+            (_, Standing::Joining) => JOINING_INTERVAL,
             _ => self.policy.gossip,
         };
-        self.gossip_at = self.now + pause.max(GOSSIP_LEAST) + clock::Millis(jitter);
-        self.age_standing();
+        self.gossip_at = self.now + pause.max(MIN_GOSSIP_INTERVAL) + clock::Millis(jitter);
+        self.advance_standing();
         self.probe();
     }
 
-    /// Some other hosts at random.
+    /// Up to `count` random live hosts.
     pub(super) fn random_peers(&mut self, count: usize) -> Vec<CompactString> {
         let is_live = |host: &&crate::plan::EntryHost| host.state == crate::plan::State::Live;
         let mut others: Vec<CompactString> =
             self.peers.values().filter(is_live).map(|host| host.peer.clone()).collect();
         let mut chosen = Vec::new();
         while chosen.len() < count && !others.is_empty() {
-            let place = self.random.random_range(0..others.len());
-            chosen.push(others.swap_remove(place));
+            let index = self.random.random_range(0..others.len());
+            chosen.push(others.swap_remove(index));
         }
         chosen
     }
 
-    /// A host that nobody who is settled told of the others began together with all of them.
-    fn age_standing(&mut self) {
+    /// Advances the standing by age. A host that got no full member list from a settled host while joining
+    /// started together with the whole fleet.
+    fn advance_standing(&mut self) {
         let age = self.now.since(self.started_at);
         match self.standing {
-            Standing::Joining if age >= JOINING => self.stand(Standing::Reborn),
-            Standing::Reborn if age >= REBORN => self.stand(Standing::Settled),
+            Standing::Joining if age >= JOINING_PERIOD => self.set_standing(Standing::Reborn),
+            Standing::Reborn if age >= REBORN_PERIOD => self.set_standing(Standing::Settled),
             _ => {}
         }
     }
 
-    fn stand(&mut self, standing: Standing) {
+    fn set_standing(&mut self, standing: Standing) {
         if self.standing == standing {
             return;
         }
         if self.standing == Standing::Joining {
-            // Hosts that started together would go on to exchange digests in step.
+            // Hosts that started together would otherwise send their digests in lockstep.
             self.gossip_at = self.now + clock::Millis(self.random.random_range(0..=self.policy.gossip.0));
         }
         self.standing = standing;
@@ -261,23 +262,23 @@
         }
     }
 
-    /// Sends digests to `count` random members. A seed is added while few are known, and now and then
-    /// later: two halves that lost each other for long find together again only by what the settings
-    /// name.
+    /// Sends digests to `count` random members. A seed is added while few are known, and sometimes later:
+    /// after a long partition, the two halves have removed each other and can rejoin only through the seeds
+    /// in the settings.
     fn probe_members(&mut self, count: usize) {
-        let mut to = self.members.pick(count, &self.identity.data_centre, &mut self.random);
+        let mut to = self.members.pick_probe_targets(count, &self.identity.data_centre, &mut self.random);
         if !self.is_watcher() {
-            let part = (WATCHER_PROBES / self.ranked.len().max(1) as f64).min(1.0);
-            to.extend(self.watcher_peers.iter().filter(|_| self.random.random_bool(part)).cloned());
+            let probability = (WATCHER_PROBES / self.ranked.len().max(1) as f64).min(1.0);
+            to.extend(self.watcher_peers.iter().filter(|_| self.random.random_bool(probability)).cloned());
         }
         let seeds: Vec<CompactString> =
             self.identity.seeds.iter().filter(|seed| **seed != self.identity.peer).cloned().collect();
         let count = self.members.count();
-        let part = SEED_PART.min(SEED_PROBES / count as f64);
-        let wants_seed = count <= self.identity.seeds.len() || self.random.random_bool(part);
-        if wants_seed && !seeds.is_empty() {
-            let place = self.random.random_range(0..seeds.len());
-            to.push(seeds[place].clone());
+        let probability = SEED_PROBABILITY.min(SEED_PROBES / count as f64);
+        let needs_seed = count <= self.identity.seeds.len() || self.random.random_bool(probability);
+        if needs_seed && !seeds.is_empty() {
+            let index = self.random.random_range(0..seeds.len());
+            to.push(seeds[index].clone());
         }
         to.sort_unstable();
         to.dedup();
@@ -286,33 +287,33 @@
         }
     }
 
-    /// Tells some hosts at once that this one leaves, so that they pass nothing more on to it.
+    /// Notifies some hosts at once that this one is leaving, so that they relay nothing more to it.
     pub(super) fn on_leaving(&mut self) {
         self.is_leaving = true;
-        self.turn += 1;
+        self.incarnation += 1;
         if matches!(self.reader.source, Source::Registry { .. }) {
-            for peer in self.members.some_of_each(TOLD_OF_LEAVING, &mut self.random) {
+            for peer in self.members.sample_each_data_centre(LEAVE_FANOUT, &mut self.random) {
                 self.send_digest(peer);
             }
         }
     }
 
     pub(super) fn on_revalidate(&mut self) {
-        self.revalidate_at = Some(self.now);
+        self.revalidation_requested_at = Some(self.now);
         if matches!(self.reader.source, Source::Registry { .. }) {
             self.confirm_with_registry();
         }
         self.probe();
     }
 
-    /// This host was cut off, and hears from others again. Connections on which it spoke meanwhile may stay
-    /// stuck for as long as the cut took, the ones included on which it answers. Others would take it for
-    /// silent until each of them was noticed by itself.
-    fn notice_end_of_cut(&mut self) {
-        let silence = self.now.since(self.heard_at);
-        self.heard_at = self.now;
+    /// Resets connections on the first message after a partition. Connections that were used meanwhile may stay
+    /// stalled for as long as the partition lasted, including those that carry this host's replies. Other hosts would
+    /// consider it silent until each stall was detected separately.
+    fn detect_partition_end(&mut self) {
+        let silence = self.now.since(self.last_received_at);
+        self.last_received_at = self.now;
         let is_registry = matches!(self.reader.source, Source::Registry { .. });
-        if !is_registry || silence < CUT_OFF {
+        if !is_registry || silence < PARTITION_TIMEOUT {
             return;
         }
         self.outputs.push(Output::Note(note::Note::CutOff { silence }));
@@ -323,7 +324,7 @@
 
     pub(super) fn on_message(&mut self, message: message::Message) {
         self.stats.received += 1;
-        self.notice_end_of_cut();
+        self.detect_partition_end();
         if message.protocol > message::PROTOCOL {
             self.stats.unknown += 1;
             return;
@@ -333,52 +334,52 @@
             message::Body::Ask(ask) => self.on_ask(message.from, &ask),
             message::Body::Catalog(update) => self.on_update(message.from, update),
             message::Body::Suspects(rows) => self.on_suspects(&rows),
-            message::Body::AskTrial(asked) => self.on_ask_trial(message.from, *asked),
-            message::Body::GrantTrial(granted) => self.on_grant_trial(*granted),
+            message::Body::AskTrial(trial) => self.on_ask_trial(message.from, *trial),
+            message::Body::GrantTrial(trial) => self.on_grant_trial(*trial),
         }
     }
 
     fn on_digest(&mut self, from: CompactString, digest: &message::Digest) {
         if matches!(self.reader.source, Source::Registry { .. }) {
-            self.hear_of(&from, &digest.members);
+            self.merge_members(&from, &digest.members);
             if self.members.set_away(&from, digest.is_away) {
                 self.refresh_peers();
             }
             if digest.is_settled && self.members.count() >= digest.known as usize {
-                self.stand(Standing::Settled);
+                self.set_standing(Standing::Settled);
             }
         }
         if digest.suspects != self.suspects.table.digest() {
-            self.tell_differing(from.clone());
+            self.send_suspects_to(from.clone());
         }
         if digest.echo.is_some() && !digest.members_digest.is_empty() {
-            let own = self.members_digest(digest.members_digest.len());
-            self.members.set_differing(digest.members_digest != own);
+            let own_digests = self.members_digest(digest.members_digest.len());
+            self.members.set_differing(digest.members_digest != own_digests);
         }
         self.learn_first(&from, digest);
         self.hear_claim(digest);
         for kind in catalog::Kind::ALL {
-            if self.must_ask(kind, digest.stamps[kind.index()], &from) {
-                self.ask(from.clone(), kind);
+            if self.should_request(kind, digest.stamps[kind.index()], &from) {
+                self.request(from.clone(), kind);
             }
         }
         if digest.sent.is_some() {
             let sender = digest.members.iter().find(|member| member.peer == from);
-            let own = self.members_digest(digest.members_digest.len());
-            let reader = member::Reader::Told {
-                known: digest.known as usize,
+            let own_digests = self.members_digest(digest.members_digest.len());
+            let recipient = member::Recipient::Known {
+                member_count: digest.known as usize,
                 data_centre: sender.map_or("", |member| member.data_centre.as_str()),
-                differs: &member::differs(&digest.members_digest, &own),
+                differing: &member::differing(&digest.members_digest, &own_digests),
             };
-            let body = self.digest(&reader, None, digest.sent);
-            self.say(from, body);
+            let body = self.digest(&recipient, None, digest.sent);
+            self.send(from, body);
         }
         if let Some(echo) = digest.echo {
             self.on_echo(digest, echo);
         }
     }
 
-    /// A reply to this host's own digest: what the peer has was confirmed `age` before `echo`.
+    /// Handles the reply to this host's digest: the peer's catalogs were confirmed their `age` before `echo`.
     fn on_echo(&mut self, digest: &message::Digest, echo: clock::Millis) {
         for kind in catalog::Kind::ALL {
             let Some(age) = digest.ages[kind.index()] else {
@@ -394,18 +395,19 @@
         self.confirm(digest, echo);
     }
 
-    /// After a pause, one peer that was asked since and has nothing newer is enough.
+    /// Completes a revalidation: one recent reply to a digest that was sent since the request is enough if the peer
+    /// has nothing newer.
     fn confirm(&mut self, digest: &message::Digest, echo: clock::Millis) {
-        let Some(asked) = self.revalidate_at else {
+        let Some(requested_at) = self.revalidation_requested_at else {
             return;
         };
         let is_newer =
             catalog::Kind::ALL.iter().any(|kind| digest.stamps[kind.index()] > self.shelves[kind.index()].stamp);
         let is_recent = digest.ages.iter().all(|age| age.is_some_and(|age| age <= self.policy.stale));
-        if echo < asked || is_newer || !is_recent {
+        if echo < requested_at || is_newer || !is_recent {
             return;
         }
-        self.revalidate_at = None;
+        self.revalidation_requested_at = None;
         self.outputs.push(Output::Revalidated);
     }
 }
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -1,13 +1,13 @@
-//! The other entry hosts, where nobody publishes them: hosts tell each other whom they know.
+//! Gossip membership: how entry hosts discover each other when no published list contains them.
 //!
-//! A host knows its seeds from the settings. Each second it sends a digest to a few random members
-//! and expects a reply; one that leaves two in a row unanswered is silent, and that is news which
-//! spreads with the digests like a join or a leave does. Absence of news means nothing, so the cost
-//! of a host does not grow with the fleet, and a large fleet does not take members for dead of whom
-//! it happened to hear nothing. A host that hears that it is silent says that it is not.
+//! A host gets its seeds from the settings. Each second it probes a few random members with a digest
+//! and expects a reply. A member that leaves two probes in a row unanswered is marked silent, and
+//! digests disseminate this like a join or a leave. A lack of updates about a member has no effect, so
+//! the cost per host does not grow with the fleet, and members of a large fleet are not declared dead
+//! just because no update about them arrived. A host that learns that it was marked silent refutes it.
 //!
-//! Silent members get no work, but count for shares of limits for long: a host on the other side of a
-//! partition goes on using its share. Source of the idea: Das, Gupta and Motivala, "SWIM: scalable
+//! Silent members get no work, but count in shares of limits until they expire, because a host on the
+//! other side of a partition keeps using its share. Based on Das, Gupta and Motivala, "SWIM: scalable
 //! weakly-consistent infection-style process group membership protocol" (2002).
 
 use std::cmp;
@@ -21,111 +21,111 @@
 
 use super::message;
 
-/// Members named in a digest besides the sender: those told least often since their state changed.
-const NAMED_MOST: usize = 8;
-/// Time for which a change of a member's state is told to hosts of which it is not known whether they have it.
-/// News passes through some thousand hosts in ten rounds of digests or so, which are a second apart; whoever
-/// missed it is told in reply to a digest of its own.
-const NEWS: clock::Millis = clock::Millis(10_000);
-/// The same for a host that knows fewer members than this one.
-const NAMED_TO_BEHIND: usize = 32;
-/// The same for a host that knows clearly fewer. When a large fleet starts as a whole, hundreds of hosts ask
-/// each seed at once, and what it answers must pass its link.
-const NAMED_TO_NEW: usize = 64;
-/// Digests that the hosts of a data centre send to others in each round of theirs, on average, where they are
-/// many. News leaves a data centre within a fraction of a second so, and the bytes between data centres do not
-/// grow with its hosts.
+/// Maximum number of members in a digest besides the sender; those sent least often since their last change go first.
+const MAX_NAMED: usize = 8;
+/// Time for which a state change is included in digests to hosts whose knowledge is unknown. A change reaches about
+/// a thousand hosts in about ten rounds of digests, which are a second apart. A host that missed it gets it in the
+/// reply to one of its own digests.
+const CHANGE_GOSSIP_TIME: clock::Millis = clock::Millis(10_000);
+/// [`MAX_NAMED`] for a recipient that knows fewer members than this host.
+const MAX_NAMED_TO_LAGGING: usize = 32;
+/// [`MAX_NAMED`] for a recipient that knows less than [`KNOWN_FRACTION`] of the members. When a large fleet starts
+/// at once, each seed gets hundreds of digests together, and its replies must fit the bandwidth of its link.
+const MAX_NAMED_TO_NEW: usize = 64;
+/// Average number of digests per round that all hosts of a large data centre together send to other data centres.
+/// At this rate changes leave a data centre within a fraction of a second, and the traffic between data centres does
+/// not grow with the number of hosts.
 const FAR_PROBES: f64 = 8.0;
-/// Part of the members of this host that another one knows at least if it is not new.
-const KNOWN_PART: f64 = 0.9;
-/// Digests in a row without a reply after which a member is silent.
-const UNANSWERED_MOST: u8 = 2;
+/// A recipient that knows less than this fraction of this host's members is treated as new.
+const KNOWN_FRACTION: f64 = 0.9;
+/// Consecutive unanswered probes after which a member is marked silent.
+const MAX_UNANSWERED: u8 = 2;
 
 #[derive(Clone, Debug)]
-struct Row {
+struct Record {
     member: message::Member,
-    /// When its state last changed, as far as this host knows.
+    /// When this host last learnt of a change of its state.
     changed_at: clock::Millis,
-    /// Digests in which it was named since then.
-    told: u32,
-    /// Digests to it, in a row, without a reply.
-    unanswered: u8,
-    /// When a digest was sent to it that is not answered yet.
-    asked_at: Option<clock::Millis>,
-    /// It said itself that the registry does not answer it.
+    /// Number of digests that included it since its last update.
+    times_named: u32,
+    /// Consecutive probes without a reply.
+    unanswered_probes: u8,
+    /// When the oldest unanswered probe was sent.
+    probed_at: Option<clock::Millis>,
+    /// Whether the member reported that the registry is unreachable for it.
     is_away: bool,
 }
 
-/// What a digest brought about a member.
+/// The effect of an update on a member's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum News {
-    /// Nothing that matters.
+pub(super) enum Change {
+    /// No relevant change.
     None,
-    /// It is new.
+    /// The member was added.
     Joined,
-    /// It is silent, leaves, or is back.
-    Changed,
+    /// Its state or CPU capacity changed.
+    Updated,
 }
 
-/// For whom members are named.
+/// The recipient of a digest, as far as it affects which members are included.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Reader<'r> {
-    /// A host that has not said what it knows.
-    Unheard,
-    /// One that has.
-    Told {
-        /// Hosts that it knows.
-        known: usize,
-        /// Where it is; empty if that is not known.
+pub(super) enum Recipient<'r> {
+    /// A host whose knowledge of members is unknown.
+    Unknown,
+    /// A host that sent a digest.
+    Known {
+        /// Number of hosts known to it.
+        member_count: usize,
+        /// Its data centre; empty if unknown.
         data_centre: &'r str,
-        /// Whether it knows something else of some member of each part; empty if it does not tell.
-        differs: &'r [bool],
+        /// For each bucket, whether its digest differs from this host's; empty if it sent no comparable digests.
+        differing: &'r [bool],
     },
 }
 
-/// What came of looking at digests that were not answered.
+/// The result of checking for unanswered probes.
 #[derive(Debug, Default)]
-pub(super) struct Review {
-    /// Names of members that are silent by this.
+pub(super) struct Timeouts {
+    /// Names of members newly marked silent.
     pub(super) silent: Vec<CompactString>,
-    /// Addresses of members to ask again.
-    pub(super) doubtful: Vec<CompactString>,
-    /// Addresses of all that did not answer.
-    pub(super) unanswered: Vec<CompactString>,
+    /// Addresses of members to probe again.
+    pub(super) retries: Vec<CompactString>,
+    /// Addresses of all hosts that did not reply.
+    pub(super) timed_out: Vec<CompactString>,
 }
 
-/// See the module.
+/// The members known to this host, by peer address.
 #[derive(Debug, Default)]
 pub(super) struct Members {
-    rows: IndexMap<CompactString, Row>,
-    /// Hosts that were asked and are no members, such as seeds that were never heard, and when.
-    strangers: IndexMap<CompactString, clock::Millis>,
-    /// Digests of all rows by part, until one of them changes.
-    digest: Option<Vec<u32>>,
-    /// The last host that replied knows something else of some member.
+    records: IndexMap<CompactString, Record>,
+    /// Probed hosts that are not members, such as seeds that never replied, with the time of the probe.
+    non_members: IndexMap<CompactString, clock::Millis>,
+    /// Cached digest of each bucket; `None` after a record changed.
+    bucket_digests: Option<Vec<u32>>,
+    /// Whether the last host that replied has different member records.
     is_differing: bool,
 }
 
-/// Parts into which members are dealt while hosts differ, for each of them: a part that differs names few that
-/// are known already.
-const PARTS_BY_MEMBER: f64 = 0.25;
-/// Most parts; a digest of each takes five bytes.
-const PARTS_MOST: usize = 256;
+/// Number of buckets per member while hosts differ. With small buckets, few members are sent that the recipient
+/// already has.
+const BUCKETS_PER_MEMBER: f64 = 0.25;
+/// Maximum number of buckets; the digest of each takes five bytes.
+const MAX_BUCKETS: usize = 256;
 
-/// The one of `parts` parts of the members in which the one at `peer` is.
-fn part(peer: &str, parts: usize) -> usize {
-    xxh3::xxh3_64(peer.as_bytes()) as usize % parts.max(1)
+/// The bucket, out of `bucket_count`, of the member at `peer`.
+fn bucket(peer: &str, bucket_count: usize) -> usize {
+    xxh3::xxh3_64(peer.as_bytes()) as usize % bucket_count.max(1)
 }
 
-/// A digest of what is said of `member`. Those of a part are put together by exclusive or, so that their order
-/// does not matter.
-fn digest(member: &message::Member) -> u32 {
-    let seed = member.turn << 2 | member.state as u64;
+/// A digest of `member`'s address, incarnation and state. The digests of a bucket are combined by XOR, so that
+/// order does not matter.
+fn member_digest(member: &message::Member) -> u32 {
+    let seed = member.incarnation << 2 | member.state as u64;
     xxh3::xxh3_64_with_seed(member.peer.as_bytes(), seed) as u32
 }
 
-/// The parts in which two hosts' digests differ; none if they have not as many.
-pub(super) fn differs(left: &[u32], right: &[u32]) -> Vec<bool> {
+/// For each bucket, whether the two hosts' digests differ; empty if the numbers of buckets differ.
+pub(super) fn differing(left: &[u32], right: &[u32]) -> Vec<bool> {
     if left.len() != right.len() {
         return Vec::new();
     }
@@ -133,177 +133,194 @@
 }
 
 impl Members {
-    /// Hosts known, this one included.
+    /// Number of known hosts, including this one.
     pub(super) fn count(&self) -> usize {
-        self.rows.len() + 1
+        self.records.len() + 1
     }
 
-    /// Whether the host at `peer` reads packed messages.
+    /// Whether the host at `peer` accepts compressed messages.
     pub(super) fn packs(&self, peer: &CompactString) -> bool {
-        self.rows.get(peer).is_some_and(|row| row.member.packs)
+        self.records.get(peer).is_some_and(|record| record.member.packs)
     }
 
-    /// Digests of what this host knows of the others, and of `this` one, in `parts` parts.
-    pub(super) fn digest(&mut self, parts: usize, this: &message::Member) -> Vec<u32> {
-        if parts == 0 {
+    /// The digests of all members and of `this` host, by bucket.
+    pub(super) fn digests(&mut self, bucket_count: usize, this: &message::Member) -> Vec<u32> {
+        if bucket_count == 0 {
             return Vec::new();
         }
-        let rows = &self.rows;
-        let held = self.digest.take().filter(|held| held.len() == parts);
-        let held = held.unwrap_or_else(|| {
-            let mut sums = vec![0; parts];
-            for (peer, row) in rows {
-                sums[part(peer, parts)] ^= digest(&row.member);
+        let records = &self.records;
+        let cached = self.bucket_digests.take().filter(|cached| cached.len() == bucket_count);
+        let cached = cached.unwrap_or_else(|| {
+            let mut digests = vec![0; bucket_count];
+            for (peer, record) in records {
+                digests[bucket(peer, bucket_count)] ^= member_digest(&record.member);
             }
-            sums
+            digests
         });
-        let mut sums = held.clone();
-        self.digest = Some(held);
-        sums[part(&this.peer, parts)] ^= digest(this);
-        sums
+        let mut digests = cached.clone();
+        self.bucket_digests = Some(cached);
+        digests[bucket(&this.peer, bucket_count)] ^= member_digest(this);
+        digests
     }
 
-    /// Parts in which this host tells its digests to one whose digests it does not know.
-    pub(super) fn parts(&self) -> usize {
+    /// Number of buckets in digests to a host whose own digests are unknown.
+    pub(super) fn bucket_count(&self) -> usize {
         if !self.is_differing {
             return 1;
         }
-        ((self.count() as f64 * PARTS_BY_MEMBER) as usize).clamp(1, PARTS_MOST)
+        ((self.count() as f64 * BUCKETS_PER_MEMBER) as usize).clamp(1, MAX_BUCKETS)
     }
 
-    /// Remembers whether the last host that replied knows something else of some member.
+    /// Records whether the last host that replied has different member records.
     pub(super) fn set_differing(&mut self, is_differing: bool) {
         self.is_differing = is_differing;
     }
 
-    /// Takes what a digest says of `member`. Of an unknown one that is silent or leaves nothing is kept: hosts
-    /// forget such members at different times, and would remind each other of them for ever.
-    pub(super) fn hear(&mut self, now: clock::Millis, member: &message::Member) -> News {
-        let Some(row) = self.rows.get_mut(&member.peer) else {
+    /// Merges a received record of `member`. An unknown member that is silent or leaving is ignored: hosts remove
+    /// such members at different times, and would otherwise keep adding them back to each other's lists.
+    pub(super) fn merge(&mut self, now: clock::Millis, member: &message::Member) -> Change {
+        let Some(record) = self.records.get_mut(&member.peer) else {
             if member.state != message::State::Alive {
-                return News::None;
+                return Change::None;
             }
             let member = member.clone();
-            let row = Row { member, changed_at: now, told: 0, unanswered: 0, asked_at: None, is_away: false };
-            self.digest = None;
-            self.rows.insert(row.member.peer.clone(), row);
-            return News::Joined;
+            let record = Record {
+                member,
+                changed_at: now,
+                times_named: 0,
+                unanswered_probes: 0,
+                probed_at: None,
+                is_away: false,
+            };
+            self.bucket_digests = None;
+            self.records.insert(record.member.peer.clone(), record);
+            return Change::Joined;
         };
-        let is_newer = (member.turn, member.state) > (row.member.turn, row.member.state);
+        let is_newer = (member.incarnation, member.state) > (record.member.incarnation, record.member.state);
         if !is_newer {
-            return News::None;
+            return Change::None;
         }
-        let is_changed = row.member.state != member.state || row.member.power != member.power;
-        row.member = member.clone();
-        row.told = 0;
-        self.digest = None;
+        let is_changed = record.member.state != member.state || record.member.power != member.power;
+        record.member = member.clone();
+        record.times_named = 0;
+        self.bucket_digests = None;
         if !is_changed {
-            return News::None;
+            return Change::None;
         }
-        row.changed_at = now;
-        News::Changed
+        record.changed_at = now;
+        Change::Updated
     }
 
-    /// Whether the member at `peer` has left digests unanswered lately.
-    pub(super) fn is_doubtful(&self, peer: &CompactString) -> bool {
-        self.rows.get(peer).is_some_and(|row| row.unanswered > 0 || row.member.state == message::State::Silent)
+    /// Whether the member at `peer` is silent or has unanswered probes.
+    pub(super) fn is_unresponsive(&self, peer: &CompactString) -> bool {
+        self.records
+            .get(peer)
+            .is_some_and(|record| record.unanswered_probes > 0 || record.member.state == message::State::Silent)
     }
 
-    /// The member at `peer` said something itself, so it is not silent, whatever others say.
-    pub(super) fn hear_from(&mut self, now: clock::Millis, peer: &CompactString) -> News {
-        self.strangers.swap_remove(peer);
-        let Some(row) = self.rows.get_mut(peer) else {
-            return News::None;
+    /// Marks the member at `peer` as alive after a message from it, regardless of what other hosts report.
+    pub(super) fn mark_alive(&mut self, now: clock::Millis, peer: &CompactString) -> Change {
+        self.non_members.swap_remove(peer);
+        let Some(record) = self.records.get_mut(peer) else {
+            return Change::None;
         };
-        row.unanswered = 0;
-        row.asked_at = None;
-        if row.member.state != message::State::Silent {
-            return News::None;
+        record.unanswered_probes = 0;
+        record.probed_at = None;
+        if record.member.state != message::State::Silent {
+            return Change::None;
         }
-        row.member.state = message::State::Alive;
-        row.member.turn += 1;
-        self.digest = None;
-        row.changed_at = now;
-        row.told = 0;
-        News::Changed
+        record.member.state = message::State::Alive;
+        record.member.incarnation += 1;
+        self.bucket_digests = None;
+        record.changed_at = now;
+        record.times_named = 0;
+        Change::Updated
     }
 
-    /// The member at `peer` says whether the registry answers it; `true` if that changed.
+    /// Records whether the registry is unreachable for the member at `peer`. Returns `true` on a change.
     pub(super) fn set_away(&mut self, peer: &CompactString, is_away: bool) -> bool {
-        self.rows.get_mut(peer).is_some_and(|row| std::mem::replace(&mut row.is_away, is_away) != is_away)
+        self.records.get_mut(peer).is_some_and(|record| std::mem::replace(&mut record.is_away, is_away) != is_away)
     }
 
-    /// Members that live but do not hear from the registry, by name.
+    /// Names of the alive members that cannot reach the registry.
     pub(super) fn away(&self) -> IndexSet<CompactString> {
-        let rows = self.rows.values().filter(|row| row.is_away && row.member.state == message::State::Alive);
-        rows.map(|row| row.member.name.clone()).collect()
+        let records =
+            self.records.values().filter(|record| record.is_away && record.member.state == message::State::Alive);
+        records.map(|record| record.member.name.clone()).collect()
     }
 
-    /// A digest goes to the member at `peer`.
-    pub(super) fn ask(&mut self, now: clock::Millis, peer: &CompactString) {
-        match self.rows.get_mut(peer) {
-            Some(row) => row.asked_at.get_or_insert(now),
-            None => self.strangers.entry(peer.clone()).or_insert(now),
+    /// Records that a probe was sent to the host at `peer`.
+    pub(super) fn record_probe(&mut self, now: clock::Millis, peer: &CompactString) {
+        match self.records.get_mut(peer) {
+            Some(record) => record.probed_at.get_or_insert(now),
+            None => self.non_members.entry(peer.clone()).or_insert(now),
         };
     }
 
-    /// Counts digests that were not answered within `patience`. Where this host has heard from nobody since
-    /// it sent one, it may itself be cut off, and tells nothing of the others: its word would reach them when
-    /// the cut heals, and make many pass over hosts that are well.
-    pub(super) fn review(&mut self, now: clock::Millis, heard_at: clock::Millis, patience: clock::Millis) -> Review {
-        let mut review = Review::default();
-        for (peer, row) in &mut self.rows {
-            let Some(asked_at) = row.asked_at.take_if(|at| now.since(*at) >= patience) else {
+    /// Counts probes that were not answered within `timeout`. If this host has received nothing since it sent a
+    /// probe, it may be partitioned itself and does not mark the member: the false report would spread once
+    /// the partition heals, and many hosts would stop using healthy members.
+    pub(super) fn take_timeouts(
+        &mut self,
+        now: clock::Millis,
+        last_received_at: clock::Millis,
+        timeout: clock::Millis,
+    ) -> Timeouts {
+        let mut timeouts = Timeouts::default();
+        for (peer, record) in &mut self.records {
+            let Some(probed_at) = record.probed_at.take_if(|at| now.since(*at) >= timeout) else {
                 continue;
             };
-            review.unanswered.push(peer.clone());
-            if row.member.state == message::State::Silent || asked_at >= heard_at {
+            timeouts.timed_out.push(peer.clone());
+            if record.member.state == message::State::Silent || probed_at >= last_received_at {
                 continue;
             }
-            row.unanswered = row.unanswered.saturating_add(1);
-            if row.unanswered < UNANSWERED_MOST {
-                review.doubtful.push(peer.clone());
+            record.unanswered_probes = record.unanswered_probes.saturating_add(1);
+            if record.unanswered_probes < MAX_UNANSWERED {
+                timeouts.retries.push(peer.clone());
                 continue;
             }
-            row.member.state = message::State::Silent;
-            self.digest = None;
-            row.changed_at = now;
-            row.told = 0;
-            review.silent.push(row.member.name.clone());
+            record.member.state = message::State::Silent;
+            self.bucket_digests = None;
+            record.changed_at = now;
+            record.times_named = 0;
+            timeouts.silent.push(record.member.name.clone());
         }
-        let is_late = |at: &clock::Millis| now.since(*at) >= patience;
-        review.unanswered.extend(self.strangers.iter().filter(|(_, at)| is_late(at)).map(|(peer, _)| peer.clone()));
-        self.strangers.retain(|_, at| !is_late(at));
-        review
+        let is_timed_out = |at: &clock::Millis| now.since(*at) >= timeout;
+        timeouts
+            .timed_out
+            .extend(self.non_members.iter().filter(|(_, at)| is_timed_out(at)).map(|(peer, _)| peer.clone()));
+        self.non_members.retain(|_, at| !is_timed_out(at));
+        timeouts
     }
 
-    /// Forgets members that have been silent for longer than `forget`; whether there was one.
-    pub(super) fn forget(&mut self, now: clock::Millis, forget: clock::Millis) -> bool {
-        let before = self.rows.len();
-        self.rows.retain(|_, row| {
-            let is_alive = row.member.state == message::State::Alive;
-            is_alive || now.since(row.changed_at) <= forget
+    /// Removes members that have been silent or leaving for longer than `retention`. Returns whether there were any.
+    pub(super) fn remove_expired(&mut self, now: clock::Millis, retention: clock::Millis) -> bool {
+        let before = self.records.len();
+        self.records.retain(|_, record| {
+            let is_alive = record.member.state == message::State::Alive;
+            is_alive || now.since(record.changed_at) <= retention
         });
-        let is_less = self.rows.len() < before;
-        if is_less {
-            self.digest = None;
+        let is_removed = self.records.len() < before;
+        if is_removed {
+            self.bucket_digests = None;
         }
-        is_less
+        is_removed
     }
 
-    /// What each member does, by name.
+    /// Names and states of all members.
     pub(super) fn states(&self) -> impl Iterator<Item = (&CompactString, message::State)> {
-        self.rows.values().map(|row| (&row.member.name, row.member.state))
+        self.records.values().map(|record| (&record.member.name, record.member.state))
     }
 
-    /// Members as entry hosts; those that are silent count as leaving.
+    /// All members as entry hosts; silent ones are listed as leaving.
     pub(super) fn hosts(&self) -> Vec<plan::EntryHost> {
         let mut hosts = Vec::new();
-        for (peer, row) in &self.rows {
-            let is_alive = row.member.state == message::State::Alive;
+        for (peer, record) in &self.records {
+            let is_alive = record.member.state == message::State::Alive;
             hosts.push(plan::EntryHost {
-                name: row.member.name.clone(),
-                data_centre: row.member.data_centre.clone(),
+                name: record.member.name.clone(),
+                data_centre: record.member.data_centre.clone(),
                 peer: peer.clone(),
                 state: if is_alive { plan::State::Live } else { plan::State::Leaving },
             });
@@ -311,11 +328,11 @@
         hosts
     }
 
-    /// Members that take requests of other hosts.
+    /// Members that accept relayed requests.
     pub(super) fn relays(&self) -> Vec<plan::Relay> {
         let mut relays = Vec::new();
-        for row in self.rows.values() {
-            let member = &row.member;
+        for record in self.records.values() {
+            let member = &record.member;
             if member.relay.is_empty() {
                 continue;
             }
@@ -330,61 +347,65 @@
         relays
     }
 
-    /// Members to name in a digest: to who does not say what it knows just news, and to who knows something else
-    /// those told least often, first of all the ones near to it.
-    pub(super) fn named(
+    /// Selects the members to include in a digest: only recent changes if the recipient's knowledge is unknown, else
+    /// members of differing buckets, those sent least often first. Members near a new recipient have priority.
+    pub(super) fn select_for(
         &mut self,
         now: clock::Millis,
-        to: &Reader<'_>,
+        recipient: &Recipient<'_>,
         random: &mut rngs::SmallRng,
     ) -> Vec<message::Member> {
         let count = self.count();
-        let (most, near_to, differs) = match *to {
-            Reader::Unheard => (NAMED_MOST, "", &[][..]),
-            Reader::Told { known, data_centre, differs } if (known as f64) < KNOWN_PART * count as f64 => {
-                (NAMED_TO_NEW, data_centre, differs)
+        let (limit, near_to, differing) = match *recipient {
+            Recipient::Unknown => (MAX_NAMED, "", &[][..]),
+            Recipient::Known { member_count, data_centre, differing }
+                if (member_count as f64) < KNOWN_FRACTION * count as f64 =>
+            {
+                (MAX_NAMED_TO_NEW, data_centre, differing)
             }
-            Reader::Told { known, differs, .. } if known < count => (NAMED_TO_BEHIND, "", differs),
-            Reader::Told { differs, .. } => (NAMED_MOST, "", differs),
+            Recipient::Known { member_count, differing, .. } if member_count < count => {
+                (MAX_NAMED_TO_LAGGING, "", differing)
+            }
+            Recipient::Known { differing, .. } => (MAX_NAMED, "", differing),
         };
-        let mut order: Vec<(bool, u32, u32, usize)> = Vec::with_capacity(self.rows.len());
-        for (place, (peer, row)) in self.rows.iter().enumerate() {
-            let is_wanted = match (to, differs) {
-                (Reader::Unheard, _) => now.since(row.changed_at) <= NEWS,
+        let mut candidates: Vec<(bool, u32, u32, usize)> = Vec::with_capacity(self.records.len());
+        for (index, (peer, record)) in self.records.iter().enumerate() {
+            let is_selected = match (recipient, differing) {
+                (Recipient::Unknown, _) => now.since(record.changed_at) <= CHANGE_GOSSIP_TIME,
                 (_, []) => true,
-                (_, differs) => differs[part(peer, differs.len())],
+                (_, differing) => differing[bucket(peer, differing.len())],
             };
-            if !is_wanted {
+            if !is_selected {
                 continue;
             }
-            let is_near = row.member.data_centre == near_to;
-            order.push((!is_near, row.told, random.random(), place));
+            let is_near = record.member.data_centre == near_to;
+            candidates.push((!is_near, record.times_named, random.random(), index));
         }
-        let most = most.min(order.len());
-        if most > 0 && most < order.len() {
-            order.select_nth_unstable(most - 1);
+        let limit = limit.min(candidates.len());
+        if limit > 0 && limit < candidates.len() {
+            candidates.select_nth_unstable(limit - 1);
         }
-        let mut members = Vec::with_capacity(most);
-        for &(.., place) in &order[..most] {
-            let Some((_, row)) = self.rows.get_index_mut(place) else {
+        let mut members = Vec::with_capacity(limit);
+        for &(.., index) in &candidates[..limit] {
+            let Some((_, record)) = self.records.get_index_mut(index) else {
                 continue;
             };
-            row.told = row.told.saturating_add(1);
-            members.push(row.member.clone());
+            record.times_named = record.times_named.saturating_add(1);
+            members.push(record.member.clone());
         }
         members
     }
 
-    /// `count` random members of each data centre, as far as they live.
-    pub(super) fn some_of_each(&self, count: usize, random: &mut rngs::SmallRng) -> Vec<CompactString> {
-        let mut centres: IndexMap<&CompactString, Vec<&CompactString>> = IndexMap::new();
-        for (peer, row) in &self.rows {
-            if row.member.state == message::State::Alive {
-                centres.entry(&row.member.data_centre).or_default().push(peer);
+    /// Up to `count` random alive members of each data centre.
+    pub(super) fn sample_each_data_centre(&self, count: usize, random: &mut rngs::SmallRng) -> Vec<CompactString> {
+        let mut by_data_centre: IndexMap<&CompactString, Vec<&CompactString>> = IndexMap::new();
+        for (peer, record) in &self.records {
+            if record.member.state == message::State::Alive {
+                by_data_centre.entry(&record.member.data_centre).or_default().push(peer);
             }
         }
         let mut picked = Vec::new();
-        for mut peers in centres.into_values() {
+        for mut peers in by_data_centre.into_values() {
             for _ in 0..count.min(peers.len()) {
                 picked.push(peers.swap_remove(random.random_range(0..peers.len())).clone());
             }
@@ -392,33 +413,38 @@
         picked
     }
 
-    /// Up to `count` random members to send a digest to, most of them in the data centre `here`. A silent one is
-    /// tried now and then, so that it is found again when it is back.
-    pub(super) fn pick(&self, count: usize, here: &str, random: &mut rngs::SmallRng) -> Vec<CompactString> {
+    /// Up to `count` random members to probe, most of them in `data_centre`. Sometimes a silent member is added,
+    /// to detect its recovery.
+    pub(super) fn pick_probe_targets(
+        &self,
+        count: usize,
+        data_centre: &str,
+        random: &mut rngs::SmallRng,
+    ) -> Vec<CompactString> {
         let mut alive = Vec::new();
         let mut near = Vec::new();
         let mut silent = Vec::new();
-        for (peer, row) in &self.rows {
-            if row.member.state == message::State::Silent {
+        for (peer, record) in &self.records {
+            if record.member.state == message::State::Silent {
                 silent.push(peer);
                 continue;
             }
             alive.push(peer);
-            if row.member.data_centre == here {
+            if record.member.data_centre == data_centre {
                 near.push(peer);
             }
         }
         let probes = (count * (near.len() + 1)) as f64;
-        let far_part = (FAR_PROBES / probes.max(1.0)).min(1.0);
+        let far_fraction = (FAR_PROBES / probes.max(1.0)).min(1.0);
         let mut picked = Vec::new();
         for _ in 0..cmp::min(count, alive.len()) {
-            let is_near = !near.is_empty() && !random.random_bool(far_part);
-            let from = if is_near { &mut near } else { &mut alive };
-            let peer = from.swap_remove(random.random_range(0..from.len()));
+            let is_near = !near.is_empty() && !random.random_bool(far_fraction);
+            let pool = if is_near { &mut near } else { &mut alive };
+            let peer = pool.swap_remove(random.random_range(0..pool.len()));
             picked.push(peer.clone());
         }
-        let silent_part = silent.len() as f64 / (silent.len() + alive.len() + picked.len()).max(1) as f64;
-        if !silent.is_empty() && (picked.is_empty() || random.random_bool(silent_part.clamp(0.1, 1.0))) {
+        let silent_fraction = silent.len() as f64 / (silent.len() + alive.len() + picked.len()).max(1) as f64;
+        if !silent.is_empty() && (picked.is_empty() || random.random_bool(silent_fraction.clamp(0.1, 1.0))) {
             picked.push(silent[random.random_range(0..silent.len())].clone());
         }
         picked
--- a/crates/core/src/control/message.rs
+++ b/crates/core/src/control/message.rs
@@ -1,12 +1,11 @@
-//! What hosts say to each other.
+//! Messages between hosts.
 //!
-//! Every message is state that can be sent again: a lost, doubled or late one does no harm, because
-//! a receiver only ever moves to a higher stamp. There is no stream of changes that must all
-//! arrive.
+//! Messages carry state and are idempotent: lost, duplicate or late ones do no harm, because a receiver
+//! only moves to a higher stamp. The protocol does not depend on a complete stream of changes.
 //!
-//! Old and new nodes live side by side during a rolling restart: fields are sent by name, new ones
-//! have a default, and a message whose protocol is newer than [`PROTOCOL`] or whose body is unknown
-//! is dropped and counted; the sender's digests go on in the body that both know.
+//! Old and new nodes coexist during a rolling restart: fields are encoded by name, new fields have a
+//! default, and a message whose protocol is newer than [`PROTOCOL`] or whose body is unknown is dropped
+//! and counted. Digests continue to be sent in the body that both versions support.
 
 use std::sync::Arc;
 
@@ -15,7 +14,7 @@
 
 use crate::{catalog, clock, suspect, view};
 
-/// Raised when a message can no longer be understood by older nodes.
+/// The protocol version, incremented when older nodes can no longer decode a message.
 pub const PROTOCOL: u16 = 1;
 
 /// A message between two hosts.
@@ -23,138 +22,139 @@
 pub struct Message {
     /// The sender's [`PROTOCOL`].
     pub protocol: u16,
-    /// `IP:PORT` at which the sender listens for messages.
+    /// `IP:PORT` at which the sender accepts messages.
     pub from: CompactString,
-    /// What it says.
+    /// The payload.
     pub body: Body,
 }
 
-/// What a message says.
+/// The payload of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// What the sender has.
+    /// A summary of the sender's state.
     Digest(Box<Digest>),
-    /// Send me what I lack of a catalog.
+    /// Requests the parts of a catalog that the sender lacks.
     Ask(Ask),
-    /// Parts of a catalog.
+    /// A full or incremental catalog update.
     Catalog(Update),
-    /// Requests that may crash servers.
+    /// Records of requests that may crash servers.
     Suspects(Vec<suspect::Told>),
-    /// May I send an attempt of a request that is suspected?
+    /// Requests permission to send an attempt of a suspected request.
     AskTrial(Box<Trial>),
-    /// You may.
+    /// Grants the trial requested by [`Body::AskTrial`].
     GrantTrial(Box<Trial>),
 }
 
-/// An attempt of a request that is suspected, with what the sender knows of the request.
+/// An attempt of a suspected request, with the sender's record of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
-    /// Which attempt of what.
+    /// The attempt and the fingerprint of its request.
     pub trial: suspect::Trial,
-    /// What is known of the request.
+    /// The sender's record of the request.
     #[serde(default)]
     pub row: suspect::Told,
 }
 
-/// What a host has, and how long ago the platform confirmed it.
+/// A summary of a host's state, with the age of its last confirmation by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Stamps of the two catalogs, by [`catalog::Kind::index`].
+    /// Stamps of the two catalogs in force, by [`catalog::Kind::index`].
     pub stamps: [view::Stamp; 2],
-    /// Time since the platform was last known to have nothing newer.
+    /// Time since each catalog was last confirmed to be current; `None` if it never was.
     pub ages: [Option<clock::Millis>; 2],
-    /// The sender's clock, to be echoed; absent in an echo.
+    /// The sender's clock, to be echoed by the receiver; `None` in replies and announcements.
     pub sent: Option<clock::Millis>,
-    /// The receiver's own clock from the digest that this one replies to. Ages are counted from it
-    /// and never from arrival: a reply may have lain in a buffer while the receiver was stopped.
+    /// In a reply, `sent` of the digest that it answers. Ages are counted from this time and never from
+    /// arrival: the reply may have been buffered while the receiver was stopped.
     pub echo: Option<clock::Millis>,
-    /// The sender and some hosts that it knows, where nobody lists them.
+    /// The sender and some members that it knows; empty in announcements and if documents list the hosts.
     pub members: Vec<Member>,
-    /// How many hosts the sender knows.
+    /// Number of hosts that the sender knows, itself included.
     pub known: u32,
-    /// Digests of what the sender knows of all members, itself included, one for each part into which they are
-    /// dealt by a hash of their address; none from nodes that do not tell. Of two hosts that differ, the one that
-    /// replies names members of the parts that differ, so there are more parts while hosts differ.
+    /// Digests of the sender's member records, itself included, one for each bucket by hash of the address; empty
+    /// from nodes that do not send them. The reply contains members of the buckets that differ, so more buckets are
+    /// used while hosts differ.
     pub members_digest: Vec<u32>,
-    /// Digest of the requests that the sender remembers as crashing servers; 0 if there are none, and from nodes that do
-    /// not tell.
+    /// Digest of the sender's records of requests that may crash servers; 0 if there are none, and from nodes that do
+    /// not send it.
     pub suspects: u32,
-    /// Whether these are likely to be all.
+    /// Whether the sender's member list is likely to be complete.
     pub is_settled: bool,
-    /// Whether the registry does not answer the sender.
+    /// Whether the registry is unreachable for the sender.
     pub is_away: bool,
-    /// The revision of the registry up to which the sender's catalogs are complete; 0 if it does not know.
+    /// The revision of the registry up to which the sender's catalogs are complete; 0 if unknown.
     pub complete_to: u64,
 }
 
-/// An entry host that the sender of a digest knows.
+/// A record of an entry host in a digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Member {
-    /// `IP:PORT` at which it listens for messages.
+    /// `IP:PORT` at which it accepts messages.
     pub peer: CompactString,
-    /// Its name.
+    /// Host name from its settings.
     pub name: CompactString,
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: CompactString,
-    /// `IP:PORT` at which it takes requests of other hosts; empty if it takes none.
+    /// `IP:PORT` that accepts requests relayed by other hosts; empty if relaying is disabled.
     pub relay: CompactString,
-    /// Its processor, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub power: u32,
-    /// Raised by the member when it has to contradict what is said of it.
-    pub turn: u64,
-    /// Whether it reads packed messages.
+    /// Incarnation number, incremented by the member to refute outdated records of it.
+    #[serde(rename = "turn")]
+    pub incarnation: u64,
+    /// Whether it accepts compressed messages.
     pub packs: bool,
-    /// What it is said to do. Of two words of the same turn the later variant holds.
+    /// Last known state. Between records of the same incarnation, the later variant takes precedence.
     pub state: State,
 }
 
-/// What a host does, as others see it.
+/// The state of a host as seen by other hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes work.
+    /// Accepts work.
     #[default]
     Alive,
-    /// It finishes what it has and goes.
+    /// Finishes pending work and shuts down.
     Leaving,
-    /// It does not reply.
+    /// Does not reply to probes.
     Silent,
 }
 
-/// A request for a catalog.
+/// A request for a full or incremental catalog update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Which catalog.
+    /// The requested catalog.
     pub kind: catalog::Kind,
-    /// Digests of the parts that the sender has, unless it names a `base`.
+    /// Digests of the parts that the sender has; empty if `base` is given.
     pub have: Vec<catalog::Digest>,
-    /// The catalog that it has, to be told what changed since; the whole catalog is an answer too.
+    /// The sender's current catalog, to request the changes since; a full update is a valid reply, too.
     #[serde(default)]
     pub base: Option<view::Stamp>,
 }
 
-/// A manifest, or its difference to another, with texts.
+/// A manifest, or its difference from an earlier one, with the texts of its parts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// Which catalog.
+    /// The catalog to update.
     pub kind: catalog::Kind,
-    /// If given, `parts` and `removed` are the difference to the manifest of this stamp.
+    /// If given, `parts` and `removed` are the difference from the manifest with this stamp.
     pub base: Option<view::Stamp>,
     /// The new manifest's number; see [`view::Stamp::number`].
     #[serde(default)]
     pub number: u64,
     /// The new manifest's version.
     pub version: u64,
-    /// The new manifest's digest, to check what a difference was applied to; 0 from nodes that do not
-    /// tell it.
+    /// The new manifest's digest, to verify the result of applying a difference; 0 from nodes that do not
+    /// send it.
     #[serde(default)]
     pub digest: u64,
-    /// Keys that the new manifest does not have any more.
+    /// Keys that are not in the new manifest any more.
     pub removed: Vec<CompactString>,
-    /// Parts of the new manifest.
+    /// The new manifest's parts, or only the changed ones if `base` is given.
     pub parts: Vec<Part>,
 }
 
@@ -165,13 +165,13 @@
     }
 }
 
-/// A part on its way.
+/// A part of a catalog update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The platform's key.
+    /// Key on the platform.
     pub key: CompactString,
     /// Digest of the text.
     pub digest: catalog::Digest,
-    /// The text, unless the receiver has it.
+    /// The text; `None` if the receiver has it or the sender lacks it.
     pub text: Option<Arc<str>>,
 }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,20 +1,20 @@
-//! The control core: which configuration is in force, and how it reaches every host.
+//! The control core: selects the configuration in force and distributes it to all hosts.
 //!
-//! The platform can only be read, and counts every call and every waiting watch. So in each data
-//! centre a few hosts watch it, chosen by rendezvous hashing over the published list without any
-//! election; they push changes down a tree, and every host compares digests with two others each
-//! second, which repairs whatever the tree lost. A host that cannot learn from others reads for
-//! itself, spread by jitter.
+//! The platform is read-only, and every call and pending watch on it is counted. So a few hosts
+//! per data centre watch it, chosen by rendezvous hashing over the published host list, without an
+//! election. They push changes down a tree, and every host exchanges digests with two others each
+//! second to repair lost pushes. A host that receives nothing from its peers reads the platform
+//! itself, with jitter to spread the load.
 //!
-//! Versions only rise: [`Core`] adopts a catalog only if its stamp is higher than the one in force,
-//! whatever the platform or a peer says later. A document with faults is refused as a whole, and the
-//! last good one stays in force.
+//! Versions are monotonic: [`Core`] adopts a catalog only if its stamp is higher than the one in force,
+//! regardless of what the platform or a peer returns later. An invalid document is rejected as a whole,
+//! and the last valid one stays in force.
 
 mod event;
 mod gossip;
 mod history;
 mod hold;
-mod life;
+mod incarnation;
 mod member;
 pub mod message;
 pub mod mirror;
@@ -42,67 +42,67 @@
 
 use crate::{catalog, clock, id, plan, suspect, view};
 
-/// Who this host is.
+/// The identity of this host and its static settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Its name in the list of hosts.
+    /// Name in the list of hosts.
     pub name: CompactString,
-    /// Its data centre.
+    /// Name of the host's data centre.
     pub data_centre: CompactString,
-    /// `IP:PORT` at which it listens for other hosts.
+    /// `IP:PORT` that accepts messages from other hosts.
     pub peer: CompactString,
-    /// Hosts to ask before any list is known, `IP:PORT`, alike on every host of a data centre; this
-    /// host may be one of them.
+    /// `IP:PORT` of the hosts to contact before any host list is known. Identical on all hosts of a data
+    /// centre, and may include this host.
     pub seeds: Vec<CompactString>,
-    /// `IP:PORT` at which it takes requests of other hosts; empty if it takes none.
+    /// `IP:PORT` that accepts requests relayed by other hosts; empty if relaying is disabled.
     pub relay: CompactString,
-    /// Its processor, in thousandths of a core.
+    /// CPU capacity, in thousandths of a core.
     pub power: u32,
-    /// The region of each data centre, if operators have given them.
+    /// The region of each data centre; empty if not configured.
     pub regions: plan::Regions,
 }
 
-/// What a host knows of its own start, where hosts learn of each other by gossip.
+/// The start-up phase of a host when membership is discovered by gossip.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
-    /// It started a moment ago, and may not have heard of many others yet.
+    /// Just started; the member list may be incomplete.
     Joining,
-    /// It heard of nobody who was there before: the whole fleet started together, perhaps after it died.
+    /// No settled member was found: the whole fleet started at once, possibly after a complete failure.
     Reborn,
-    /// It knows the others, and takes its full share of what all hosts share.
+    /// The member list is complete; the host uses its full share of fleet-wide limits.
     Settled,
 }
 
-/// Where configuration and lists of hosts come from.
+/// The source of the configuration and the host lists.
 #[derive(Clone, Copy, Debug)]
 pub enum Source {
-    /// Published documents: a manifest for each catalog, which names its parts.
+    /// Published documents: one manifest per catalog, which lists its parts.
     Documents,
-    /// A keyspace that is read whole and followed by its changes. Entry hosts are not listed; they
-    /// learn of each other by gossip.
+    /// A keyspace that is read in full and then followed through its changes. Entry hosts are not listed
+    /// in it; they discover each other by gossip.
     Registry {
-        /// The catalog to which an item belongs, by its key; `None` if it is not for this system.
+        /// Maps an item's key to its catalog; `None` for items of other systems.
         kind_of: fn(&str) -> Option<catalog::Kind>,
-        /// What of an item's text matters here, by its key. Texts that differ in the rest are the same
-        /// item, which saves telling everybody about it.
+        /// Reduces an item's text, given its key, to the content that is relevant here. Changes to the
+        /// rest of the text are not distributed to other hosts.
         essence: fn(&str, Arc<str>) -> Arc<str>,
     },
 }
 
-/// The functions that read documents; they live in the settings package, which knows YAML, or with
-/// the interface that knows the registry's format.
+/// Parsers for documents. They are implemented in the settings package (YAML) or by the interface that
+/// defines the registry's format.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader {
-    /// Where the documents come from.
+    /// The source whose documents are parsed.
     pub source: Source,
-    /// Reads a manifest.
+    /// Parses a manifest.
     pub manifest: fn(&str) -> Result<catalog::Manifest, Vec<plan::Fault>>,
-    /// Reads the part with this key.
+    /// Parses a part, given its key and text.
     pub part: fn(&str, &str) -> Result<plan::Part, Vec<plan::Fault>>,
 }
 
-/// The decisions of the control thread.
+/// The state machine of the control thread.
 #[derive(Debug)]
 pub struct Core {
     policy: Policy,
@@ -113,49 +113,49 @@
     shelves: [Shelf; 2],
     servers: view::Registry,
     view: Option<Arc<view::View>>,
-    /// When a view must be compiled since members changed, and when the last one was.
+    /// When a view must be compiled because members changed, and when the last one was compiled.
     compile_at: Option<clock::Millis>,
     compiled_at: clock::Millis,
-    /// Other entry hosts that are listed, by the address at which they listen.
+    /// The other entry hosts, by peer address.
     peers: IndexMap<CompactString, plan::EntryHost>,
-    /// Hosts of this data centre, by rank; the first ones watch, and the order is the push tree's.
+    /// Hosts of this data centre in rendezvous order; the first ones are watchers, and the push tree uses this order.
     ranked: Vec<CompactString>,
-    /// Addresses of the first ones, without this host.
+    /// Addresses of the watchers, without this host.
     watcher_peers: Vec<CompactString>,
-    /// Whether it asks in place of others, whom the registry turns away.
-    is_stand_in: bool,
+    /// Whether this host watches because the registry is unreachable from higher-ranked hosts.
+    is_backup_watcher: bool,
     members: member::Members,
-    /// When another host was last heard.
-    heard_at: clock::Millis,
-    /// When to look which members did not answer.
-    review_at: clock::Millis,
-    /// Whether others are to be told what this host has from the registry, and the earliest time.
+    /// When a message from another host was last received.
+    last_received_at: clock::Millis,
+    /// When to check for unanswered digests.
+    reply_check_at: clock::Millis,
+    /// Whether to announce this host's registry state, and the earliest time for it.
     must_announce: bool,
     announce_at: clock::Millis,
     is_leaving: bool,
-    /// This host's own turn as a member.
-    turn: u64,
+    /// This host's incarnation number as a member; see [`message::Member::incarnation`].
+    incarnation: u64,
     registry: registry::Registry,
-    lives: life::Lives,
+    incarnations: incarnation::Incarnations,
     restore_overrides: restored::Overrides,
     suspects: suspects::Suspects,
     gossip_at: clock::Millis,
     started_at: clock::Millis,
     standing: Standing,
     start: start::Start,
-    /// The revision up to which the catalogs in force are complete; 0 if that is not known. It rises without
-    /// a change of them too, and lets a host follow the registry that never read it.
+    /// The revision up to which the catalogs in force are complete; 0 if unknown. It also rises when the
+    /// catalogs do not change, and lets a host follow the registry without a full read.
     complete_to: u64,
-    /// What another host said of that, with the catalogs that it has.
+    /// The highest `complete_to` reported by a peer, with the stamps of that peer's catalogs.
     claim: ([view::Stamp; 2], u64),
-    /// When a traffic core asked for confirmation.
-    revalidate_at: Option<clock::Millis>,
+    /// When a traffic core last requested revalidation.
+    revalidation_requested_at: Option<clock::Millis>,
     outputs: Vec<Output>,
     stats: Stats,
 }
 
 impl Core {
-    /// A core that knows nothing yet.
+    /// Creates a core without any catalog in force.
     pub fn new(policy: Policy, identity: Identity, reader: Reader, seed: u64, now: clock::Millis) -> Self {
         let mut random = rngs::SmallRng::seed_from_u64(seed);
         let start = start::Start::new(now, &mut random);
@@ -173,16 +173,16 @@
             peers: IndexMap::new(),
             ranked: Vec::new(),
             watcher_peers: Vec::new(),
-            is_stand_in: false,
+            is_backup_watcher: false,
             members: member::Members::default(),
-            heard_at: now,
-            review_at: clock::Millis::MAX,
+            last_received_at: now,
+            reply_check_at: clock::Millis::MAX,
             must_announce: false,
             announce_at: clock::Millis::ZERO,
             is_leaving: false,
-            turn: 0,
+            incarnation: 0,
             registry: registry::Registry::default(),
-            lives: life::Lives::default(),
+            incarnations: incarnation::Incarnations::default(),
             restore_overrides: restored::Overrides::default(),
             suspects: suspects::Suspects::default(),
             gossip_at: now,
@@ -194,7 +194,7 @@
             start,
             complete_to: 0,
             claim: Default::default(),
-            revalidate_at: None,
+            revalidation_requested_at: None,
             outputs: Vec::new(),
             stats: Stats::default(),
         };
@@ -202,38 +202,38 @@
         core
     }
 
-    /// Runs the systems once.
+    /// Processes `inputs`, runs all subsystems once and returns the resulting actions.
     pub fn step(&mut self, now: clock::Millis, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         self.now = now.max(self.now);
         for input in inputs {
-            self.take(input);
+            self.handle_input(input);
         }
         match self.reader.source {
             Source::Documents => self.ask_platform(),
             Source::Registry { .. } => self.ask_registry(),
         }
         self.gossip();
-        self.ask_for_late();
+        self.request_overdue();
         self.tell_who_asked();
         self.announce();
-        self.tell_suspects();
+        self.gossip_suspects();
         self.compile_members();
         self.count_outputs()
     }
 
-    /// When the core must be stepped again at the latest, if nothing else happens.
+    /// The latest time for the next call of [`Core::step`] if no input arrives.
     pub fn next_timer(&self) -> clock::Millis {
         match self.reader.source {
             Source::Documents => self.now,
             Source::Registry { .. } => {
                 let compile = self.compile_at.unwrap_or(clock::Millis::MAX);
-                let told = self.spread_timer().min(self.suspects_timer());
-                self.gossip_at.min(self.review_at).min(told).min(self.registry_timer()).min(compile)
+                let outgoing = self.spread_timer().min(self.suspects_timer());
+                self.gossip_at.min(self.reply_check_at).min(outgoing).min(self.registry_timer()).min(compile)
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Tick => {}
             Input::Manifest { kind, watched, text } => self.on_manifest(kind, watched, text),
@@ -246,8 +246,8 @@
             Input::Seeds(seeds) => self.identity.seeds = seeds,
             Input::Crashed(crash) => self.on_crash(crash),
             Input::Cleared(fingerprint) => self.on_cleared(fingerprint),
-            Input::AskTrial(trial) => self.ask_trial(trial),
-            Input::TrialUnused(trial) => self.take_back_trial(trial),
+            Input::AskTrial(trial) => self.request_trial(trial),
+            Input::TrialUnused(trial) => self.on_trial_unused(trial),
             Input::Release(fingerprint) => self.on_release(fingerprint),
         }
     }
@@ -268,53 +268,53 @@
         outputs
     }
 
-    /// The view in force, if there is one.
+    /// The view in force; `None` until both catalogs have been adopted.
     pub fn view(&self) -> Option<&Arc<view::View>> {
         self.view.as_ref()
     }
 
-    /// The stamp of the catalog in force.
+    /// The stamp of the catalog in force; its version is 0 if there is none.
     pub fn stamp(&self, kind: catalog::Kind) -> view::Stamp {
         self.shelves[kind.index()].stamp
     }
 
-    /// Time since the platform was last known to have nothing newer.
+    /// Time since the catalog was last confirmed to be current; `None` if it never was.
     pub fn age(&self, kind: catalog::Kind) -> Option<clock::Millis> {
         self.shelves[kind.index()].fresh_at.map(|at| self.now.since(at))
     }
 
-    /// The other hosts that this one knows from hosts, and what they do; none if documents list them.
+    /// Names and states of the members discovered by gossip; empty if documents list the hosts.
     pub fn members(&self) -> impl Iterator<Item = (&CompactString, message::State)> {
         self.members.states()
     }
 
-    /// Requests that may crash servers, as this host knows them.
+    /// This host's records of requests that may crash servers.
     pub fn suspects(&self) -> Vec<suspect::Told> {
         self.suspects.table.rows(self.now)
     }
 
-    /// Counters since the start.
+    /// Counters since the core was created.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Whether this host watches the platform for its data centre.
+    /// Whether this host watches the platform on behalf of its data centre.
     pub fn is_watcher(&self) -> bool {
-        let most = self.policy.watchers as usize;
-        self.is_stand_in || self.ranked.iter().take(most).any(|name| *name == self.identity.name)
+        let watchers = self.policy.watchers as usize;
+        self.is_backup_watcher || self.ranked.iter().take(watchers).any(|name| *name == self.identity.name)
     }
 
-    /// Why each server of the selector's service is reached or not; `None` if there is no such
-    /// selector.
+    /// For each server of the selector's service, the reason why it is selected or not; `None` if there is
+    /// no such selector.
     pub fn explain(&mut self, selector: &str) -> Option<Vec<(CompactString, plan::Reason)>> {
         let view = Arc::clone(self.view.as_ref()?);
         let parts: Vec<Arc<plan::Part>> = self.shelves[0].parsed.values().cloned().collect();
         let mut found = None;
         for part in &parts {
-            let plan::Part::Selectors(rows) = &**part else {
+            let plan::Part::Selectors(selectors) = &**part else {
                 continue;
             };
-            found = found.or_else(|| rows.iter().find(|row| row.name == selector));
+            found = found.or_else(|| selectors.iter().find(|candidate| candidate.name == selector));
         }
         let selector = found?;
         let mut reasons = Vec::new();
@@ -331,7 +331,7 @@
         Some(reasons)
     }
 
-    /// The server called `name`, for tests and status.
+    /// The index of the server called `name`, for tests and status pages.
     pub fn server(&mut self, name: &str) -> id::Server {
         self.servers.intern(name)
     }
--- a/crates/core/src/control/registry.rs
+++ b/crates/core/src/control/registry.rs
@@ -250,7 +250,7 @@
                     return;
                 }
                 self.rebuild();
-                if confirms && self.revalidate_at.take().is_some() {
+                if confirms && self.revalidation_requested_at.take().is_some() {
                     self.outputs.push(Output::Revalidated);
                 }
             }
@@ -271,7 +271,8 @@
         self.stats.platform_failures += 1;
         self.registry.call = Call::None;
         let jitter = self.random.random_range(0..=FAILURE_PAUSE.0);
-        let pause = (FAILURE_PAUSE + clock::Millis(jitter)).scale(if self.is_stand_in { STAND_IN_PAUSE } else { 1.0 });
+        let pause =
+            (FAILURE_PAUSE + clock::Millis(jitter)).scale(if self.is_backup_watcher { STAND_IN_PAUSE } else { 1.0 });
         self.registry.call_at = (self.registry.called_at + pause).max(self.now + RETRY_LEAST);
         if self.registry.held.on_failure() {
             self.must_announce = true;
--- a/crates/core/src/control/shelf.rs
+++ b/crates/core/src/control/shelf.rs
@@ -155,7 +155,7 @@
         shelf.current.adopt(manifest);
         shelf.retain_parts_in_force();
         if kind == catalog::Kind::Hosts {
-            self.lives.take(self.now, shelf.parsed.values().map(|part| &**part));
+            self.incarnations.update(self.now, shelf.parsed.values().map(|part| &**part));
         }
         shelf.stamp = stamp;
         if shelf.newer.as_ref().is_some_and(|newer| newer.stamp <= stamp) {
--- a/crates/core/src/control/start.rs
+++ b/crates/core/src/control/start.rs
@@ -108,7 +108,7 @@
                 continue;
             }
             *asked_at = Some(self.now);
-            self.ask(from.clone(), kind);
+            self.request(from.clone(), kind);
         }
     }
 
@@ -129,7 +129,7 @@
             return;
         }
         for to in std::mem::take(&mut self.start.asked_by) {
-            self.tell_stamps(to);
+            self.send_stamps(to);
         }
     }
 
--- a/crates/core/src/control/suspects.rs
+++ b/crates/core/src/control/suspects.rs
@@ -1,12 +1,12 @@
-//! Telling other hosts which requests crash servers, and granting trials of them.
+//! Distribution of the records of requests that crash servers, and granting of their trials.
 //!
-//! News of a request goes to some random hosts at once, and each that finds it new passes it on in the same way, so
-//! that hundreds of hosts have it after a few hops. Besides, digests tell whether two hosts remember the same, which
-//! repairs what was lost and reaches hosts that were cut off or have just started.
+//! An update is sent to a few random hosts at once, and each host to which it is new forwards it in the same way, so
+//! that it reaches hundreds of hosts in a few hops. Digests show whether the tables of two hosts differ, which repairs
+//! lost updates and reaches hosts that were partitioned or have just started.
 //!
-//! A host that has an attempt of a request that is suspected asks one host for a trial, which all that know the same hosts
-//! choose alike. It sends what it knows of the request with it, since the host that grants may have started a moment
-//! ago. Where hosts disagree for a while on who grants, each of them grants no more than the table allows.
+//! A host that has an attempt of a suspected request requests a trial from one host, the grantor. Hosts with the same
+//! member list choose the same grantor. The request includes the sender's record, because the grantor may have just
+//! started. While hosts disagree on the grantor, each of them grants no more than its table allows.
 
 use std::sync::Arc;
 
@@ -17,27 +17,27 @@
 
 use super::{Core, Output, Standing, message, note};
 
-/// Hosts that are told news at once. With so many the word reaches all but one of a million in five hops.
-const TOLD: usize = 6;
-/// Rows in one message of news.
-const ROWS: usize = 16;
-/// Rows in one message to a host whose digest differs.
-const ROWS_DIFFERING: usize = 64;
-/// Least time between two messages of news of requests that are held, in ms.
-const PAUSE: clock::Millis = clock::Millis(50);
-/// The same for requests that are suspected.
-const SUSPECT_PAUSE: clock::Millis = clock::Millis(100);
-
-/// What is known of requests that crash servers, and what of it is to be told.
+/// Number of hosts to which an update is sent. With this fan-out it reaches all but one in a million in five hops.
+const FANOUT: usize = 6;
+/// Maximum number of rows in an update.
+const MAX_UPDATE_ROWS: usize = 16;
+/// Maximum number of rows in a message to a host whose digest differs.
+const MAX_SYNC_ROWS: usize = 64;
+/// Minimum interval between updates if they contain held requests.
+const MIN_HELD_INTERVAL: clock::Millis = clock::Millis(50);
+/// Minimum interval between updates with suspected requests alone.
+const MIN_SUSPECT_INTERVAL: clock::Millis = clock::Millis(100);
+
+/// Requests that may crash servers, and the state of their distribution.
 #[derive(Debug, Default)]
 pub(super) struct Suspects {
     pub(super) table: suspect::Table,
-    /// What the lanes were told last.
+    /// The standings that were last published to the lanes.
     published: Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>,
-    /// When news was told last.
-    told_at: clock::Millis,
-    /// When a row is forgotten next.
-    next_at: Option<clock::Millis>,
+    /// When the last update was sent; zero if none was.
+    sent_at: clock::Millis,
+    /// When the next row expires.
+    expires_at: Option<clock::Millis>,
 }
 
 impl Core {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// An operator lets a request go, on this host.
+    /// Removes a request from this host's table on behalf of an operator.
     pub(super) fn on_release(&mut self, fingerprint: suspect::Fingerprint) {
         if self.suspects.table.release(fingerprint) {
             self.outputs.push(Output::Note(note::Note::Cleared(fingerprint)));
@@ -65,16 +65,16 @@
 
     pub(super) fn on_suspects(&mut self, rows: &[suspect::Told]) {
         let mut is_new = false;
-        for told in rows {
-            is_new |= self.suspects.table.merge(self.now, told);
+        for row in rows {
+            is_new |= self.suspects.table.merge(self.now, row);
         }
         if is_new {
             self.publish_suspects();
         }
     }
 
-    /// A lane has an attempt of a request that is suspected.
-    pub(super) fn ask_trial(&mut self, trial: suspect::Trial) {
+    /// Requests a trial for a lane's attempt of a suspected request, or grants it if this host is the grantor.
+    pub(super) fn request_trial(&mut self, trial: suspect::Trial) {
         let Some(to) = self.grantor(trial.fingerprint) else {
             if self.grant(trial) {
                 self.outputs.push(Output::Granted(trial));
@@ -82,10 +82,10 @@
             return;
         };
         let row = self.suspects.table.row(self.now, trial.fingerprint);
-        self.say(to, message::Body::AskTrial(Box::new(message::Trial { trial, row })));
+        self.send(to, message::Body::AskTrial(Box::new(message::Trial { trial, row })));
     }
 
-    /// The other host that grants trials of a request; `None` if this one does.
+    /// The address of the host that grants trials of a request; `None` if it is this host.
     fn grantor(&self, fingerprint: suspect::Fingerprint) -> Option<CompactString> {
         let live = || self.peers.values().filter(|host| host.state == plan::State::Live);
         let mut hosts: Vec<CompactString> = live().map(|host| host.name.clone()).collect();
@@ -94,32 +94,32 @@
         live().find(|host| Some(&host.name) == grantor).map(|host| host.peer.clone())
     }
 
-    /// Another host has one.
-    pub(super) fn on_ask_trial(&mut self, from: CompactString, asked: message::Trial) {
-        self.on_suspects(std::slice::from_ref(&asked.row));
-        // A host that knows of fewer others may ask the wrong one.
-        let is_granted = self.grantor(asked.trial.fingerprint).is_none() && self.grant(asked.trial);
-        let row = self.suspects.table.row(self.now, asked.trial.fingerprint);
+    /// Replies to another host's request for a trial.
+    pub(super) fn on_ask_trial(&mut self, from: CompactString, request: message::Trial) {
+        self.on_suspects(std::slice::from_ref(&request.row));
+        // A host with an incomplete member list may have sent the request to the wrong grantor.
+        let is_granted = self.grantor(request.trial.fingerprint).is_none() && self.grant(request.trial);
+        let row = self.suspects.table.row(self.now, request.trial.fingerprint);
         let body = match is_granted {
-            true => message::Body::GrantTrial(Box::new(message::Trial { row, ..asked })),
+            true => message::Body::GrantTrial(Box::new(message::Trial { row, ..request })),
             false => message::Body::Suspects(vec![row]),
         };
-        self.say(from, body);
+        self.send(from, body);
     }
 
-    pub(super) fn on_grant_trial(&mut self, granted: message::Trial) {
-        self.on_suspects(std::slice::from_ref(&granted.row));
-        self.outputs.push(Output::Granted(granted.trial));
+    pub(super) fn on_grant_trial(&mut self, grant: message::Trial) {
+        self.on_suspects(std::slice::from_ref(&grant.row));
+        self.outputs.push(Output::Granted(grant.trial));
     }
 
-    pub(super) fn take_back_trial(&mut self, trial: suspect::Trial) {
+    pub(super) fn on_trial_unused(&mut self, trial: suspect::Trial) {
         if self.suspects.table.take_back(self.now, trial) {
             self.publish_suspects();
         }
     }
 
     fn grant(&mut self, trial: suspect::Trial) -> bool {
-        // A host that has just started may not know who else could grant.
+        // A host that has just started may not know the actual grantor yet.
         let is_granted = self.standing == Standing::Settled && self.suspects.table.grant(self.now, trial);
         if is_granted {
             self.outputs.push(Output::Note(note::Note::Trial(trial)));
@@ -128,14 +128,14 @@
         is_granted
     }
 
-    /// Tells the lanes what this host does with requests from now on.
+    /// Publishes the current standings to the lanes.
     fn publish_suspects(&mut self) {
         let standings = self.suspects.table.standings();
         let is_convicted = |standing: &&suspect::Standing| matches!(standing, suspect::Standing::Convicted { .. });
         self.stats.suspects = standings.len() as u64;
         self.stats.held = standings.values().filter(|standing| standing.ends_running()).count() as u64;
         self.stats.convicted = standings.values().filter(is_convicted).count() as u64;
-        self.suspects.next_at = self.suspects.table.next();
+        self.suspects.expires_at = self.suspects.table.next();
         let standings = Arc::new(standings);
         let before = std::mem::replace(&mut self.suspects.published, Arc::clone(&standings));
         for (&fingerprint, &standing) in standings.iter() {
@@ -149,52 +149,52 @@
         self.outputs.push(Output::Suspects(standings));
     }
 
-    /// Sends news, and forgets what is over.
-    pub(super) fn tell_suspects(&mut self) {
-        if self.suspects.next_at.is_some_and(|at| at <= self.now) {
+    /// Removes expired rows, and sends an update when one is due.
+    pub(super) fn gossip_suspects(&mut self) {
+        if self.suspects.expires_at.is_some_and(|at| at <= self.now) {
             self.suspects.table.expire(self.now);
             self.publish_suspects();
         }
-        if self.news_at() <= self.now {
-            self.suspects.told_at = self.now;
+        if self.next_send_at() <= self.now {
+            self.suspects.sent_at = self.now;
             self.send_suspects();
         }
     }
 
-    /// When news is told next.
-    fn news_at(&self) -> clock::Millis {
+    /// When the next update is due.
+    fn next_send_at(&self) -> clock::Millis {
         let Some(is_held) = self.suspects.table.news().filter(|_| !self.peers.is_empty()) else {
             return clock::Millis::MAX;
         };
-        let pause = if is_held { PAUSE } else { SUSPECT_PAUSE };
-        match self.suspects.told_at {
+        let pause = if is_held { MIN_HELD_INTERVAL } else { MIN_SUSPECT_INTERVAL };
+        match self.suspects.sent_at {
             clock::Millis::ZERO => self.now,
             at => at + pause,
         }
     }
 
-    /// Tells some random hosts.
+    /// Sends an update to a few random hosts.
     fn send_suspects(&mut self) {
-        let peers = self.random_peers(TOLD);
+        let peers = self.random_peers(FANOUT);
         if peers.is_empty() || self.suspects.table.is_empty() {
             return;
         }
-        let rows = self.suspects.table.tell(self.now, ROWS);
+        let rows = self.suspects.table.tell(self.now, MAX_UPDATE_ROWS);
         for to in peers {
-            self.say(to, message::Body::Suspects(rows.clone()));
+            self.send(to, message::Body::Suspects(rows.clone()));
         }
     }
 
-    /// Tells a host whose digest differs.
-    pub(super) fn tell_differing(&mut self, to: CompactString) {
+    /// Sends rows to a host whose digest differs.
+    pub(super) fn send_suspects_to(&mut self, to: CompactString) {
         if !self.suspects.table.is_empty() {
-            let rows = self.suspects.table.tell(self.now, ROWS_DIFFERING);
-            self.say(to, message::Body::Suspects(rows));
+            let rows = self.suspects.table.tell(self.now, MAX_SYNC_ROWS);
+            self.send(to, message::Body::Suspects(rows));
         }
     }
 
-    /// When [`Core::tell_suspects`] must run.
+    /// When [`Core::gossip_suspects`] must run next.
     pub(super) fn suspects_timer(&self) -> clock::Millis {
-        self.suspects.next_at.unwrap_or(clock::Millis::MAX).min(self.news_at())
+        self.suspects.expires_at.unwrap_or(clock::Millis::MAX).min(self.next_send_at())
     }
 }
--- a/crates/core/src/control/views.rs
+++ b/crates/core/src/control/views.rs
@@ -41,7 +41,7 @@
         }
         let stamps = [self.shelves[0].stamp, self.shelves[1].stamp];
         let held = self.registry.held.leafs();
-        let reborn = self.lives.reborn();
+        let reborn = self.incarnations.restarted();
         let members = match self.reader.source {
             Source::Documents => 0,
             Source::Registry { .. } => self.members.count().max(self.identity.seeds.len()) as u32,
@@ -134,7 +134,7 @@
         let away = self.members.away();
         let place = self.ranked.iter().position(|name| *name == self.identity.name).unwrap_or_default();
         let served = self.ranked[..place].iter().filter(|name| !away.contains(*name)).count();
-        self.is_stand_in = (most..most + STAND_INS).contains(&place) && served < most;
+        self.is_backup_watcher = (most..most + STAND_INS).contains(&place) && served < most;
         let watchers = &self.ranked[..self.ranked.len().min(most)];
         let is_watcher = |host: &plan::EntryHost| watchers.contains(&host.name);
         self.watcher_peers =
