--- a/crates/core/src/control/gossip.rs
+++ b/crates/core/src/control/gossip.rs
@@ -62,7 +62,7 @@
             members_digest: self.members_digest(bucket_count),
             suspects: self.suspects.table.digest(),
             is_settled: self.standing == Standing::Settled,
-            is_away: self.registry.held.is_away(),
+            is_away: self.registry.held.is_unreachable(),
             complete_to: self.complete_to,
             stamps: [self.shelves[0].stamp, self.shelves[1].stamp],
             ages: [self.age(catalog::Kind::Config), self.age(catalog::Kind::Hosts)],
@@ -111,7 +111,7 @@
         }
         let is_back = self.members.mark_alive(self.now, from) != member::Change::None;
         if is_back {
-            self.outputs.push(Output::Note(note::Note::Replies { peer: from.clone() }));
+            self.outputs.push(Output::Note(note::Note::Replied { peer: from.clone() }));
         }
         let mut has_changed = is_back;
         let mut joined = Vec::new();
@@ -130,11 +130,11 @@
             let known = self.members.count();
             self.outputs.push(Output::Note(note::Note::Joined { names: joined, known }));
             self.refresh_peers();
-            self.compile_after(JOINED_PAUSE);
+            self.schedule_compile(JOINED_PAUSE);
         }
         if has_changed {
             self.refresh_peers();
-            self.compile_after(COMPILE_PAUSE);
+            self.schedule_compile(COMPILE_PAUSE);
         }
     }
 
@@ -153,7 +153,7 @@
         let timeouts = self.members.take_timeouts(self.now, self.last_received_at, REPLY_TIMEOUT);
         let has_lost_watcher = timeouts.timed_out.iter().any(|peer| self.watcher_peers.contains(peer));
         if has_lost_watcher {
-            self.look_at_registry();
+            self.request_poll();
         }
         let has_silent = !timeouts.silent.is_empty();
         if has_silent {
@@ -172,7 +172,7 @@
         }
         if has_silent || has_removed {
             self.refresh_peers();
-            self.compile_after(COMPILE_PAUSE);
+            self.schedule_compile(COMPILE_PAUSE);
         }
     }
 
@@ -197,7 +197,7 @@
             (false, _) if !is_registry => self.policy.start_wait,
             (false, Standing::Joining) => {
                 jitter /= 8;
-                start::PAUSE
+                start::DIGEST_INTERVAL
             }
             (_, Standing::Joining) => JOINING_INTERVAL,
             _ => self.policy.gossip,
@@ -316,7 +316,7 @@
         if !is_registry || silence < PARTITION_TIMEOUT {
             return;
         }
-        self.outputs.push(Output::Note(note::Note::CutOff { silence }));
+        self.outputs.push(Output::Note(note::Note::PartitionHealed { silence }));
         for to in self.peers.keys() {
             self.outputs.push(Output::Reconnect { to: to.clone() });
         }
@@ -356,8 +356,8 @@
             let own_digests = self.members_digest(digest.members_digest.len());
             self.members.set_differing(digest.members_digest != own_digests);
         }
-        self.learn_first(&from, digest);
-        self.hear_claim(digest);
+        self.on_bootstrap_digest(&from, digest);
+        self.record_claim(digest);
         for kind in catalog::Kind::ALL {
             if self.should_request(kind, digest.stamps[kind.index()], &from) {
                 self.request(from.clone(), kind);
@@ -390,7 +390,7 @@
                 continue;
             }
             let fresh_at = echo - age;
-            shelf.fresh_at = Some(shelf.fresh_at.map_or(fresh_at, |held| held.max(fresh_at)));
+            shelf.confirmed_at = Some(shelf.confirmed_at.map_or(fresh_at, |held| held.max(fresh_at)));
         }
         self.confirm(digest, echo);
     }
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -10,7 +10,7 @@
 
 use crate::{catalog, clock, mutant, rendezvous, view};
 
-use super::{Core, Newer, Output, Shelf, Source, message, note};
+use super::{Announcement, Core, Output, Replica, Source, message, note};
 
 /// Time for a push to arrive before an announced catalog is requested: a few hops of some tens of ms each on small
 /// hosts. If the hosts that start pushes have died, distribution takes this long at each hop.
@@ -38,7 +38,7 @@
         if !is_registry {
             return true;
         }
-        if shelf.take_version(peer_stamp) {
+        if shelf.adopt_version(peer_stamp) {
             return false;
         }
         if shelf.stamp.version == 0 {
@@ -48,14 +48,14 @@
         // A nearby host is preferred to one with a higher stamp; what it lacks is requested later.
         let has_nearer = shelf.newer.as_ref().is_some_and(|newer| newer.is_near && !is_near);
         if !has_nearer {
-            shelf.newer = Some(Newer { stamp: peer_stamp, from: from.clone(), is_near, since });
+            shelf.newer = Some(Announcement { stamp: peer_stamp, from: from.clone(), is_near, since });
         }
         false
     }
 
     /// Requests the announced catalogs that did not arrive in time.
     pub(super) fn request_overdue(&mut self) {
-        let is_importer = self.is_bringer();
+        let is_importer = self.is_fetcher();
         for kind in catalog::Kind::ALL {
             let shelf = &mut self.shelves[kind.index()];
             let is_overdue = shelf.newer.as_ref().is_some_and(|newer| newer.due(is_importer) <= self.now);
@@ -63,13 +63,13 @@
                 continue;
             };
             self.request(newer.from, kind);
-            self.doubt_registry(newer.since);
+            self.retry_stalled_call(newer.since);
         }
     }
 
     /// When [`Core::request_overdue`] or [`Core::announce`] must run next.
     pub(super) fn spread_timer(&self) -> clock::Millis {
-        let is_importer = self.is_bringer();
+        let is_importer = self.is_fetcher();
         let overdue = self.shelves.iter().filter_map(|shelf| shelf.newer.as_ref()).map(|newer| newer.due(is_importer));
         let announce = if self.must_announce { self.announce_at } else { clock::Millis::MAX };
         overdue.min().unwrap_or(clock::Millis::MAX).min(announce)
@@ -83,7 +83,7 @@
         self.must_announce = false;
         self.announce_at = self.now + MIN_ANNOUNCE_INTERVAL;
         // While the registry is unreachable for some hosts, watchers need announcements as well.
-        let is_registry_partitioned = self.registry.held.is_away() || !self.members.away().is_empty();
+        let is_registry_partitioned = self.registry.held.is_unreachable() || !self.members.away().is_empty();
         let mut others = Vec::new();
         for (address, host) in &self.peers {
             let is_live = host.state == crate::plan::State::Live;
@@ -106,7 +106,7 @@
             stamps: [self.shelves[0].stamp, self.shelves[1].stamp],
             ages: [self.age(catalog::Kind::Config), self.age(catalog::Kind::Hosts)],
             known: self.members.count() as u32,
-            is_away: self.registry.held.is_away(),
+            is_away: self.registry.held.is_unreachable(),
             complete_to: self.complete_to,
             suspects: self.suspects.table.digest(),
             ..message::Digest::default()
@@ -187,7 +187,7 @@
         if is_older || shelf.refused == Some(stamp) {
             return;
         }
-        if shelf.take_version(stamp) {
+        if shelf.adopt_version(stamp) {
             return;
         }
         shelf.current.texts.extend(texts);
@@ -256,7 +256,7 @@
     }
 }
 
-impl Newer {
+impl Announcement {
     /// When to request the catalog. Hosts that do not import catalogs into their data centre wait longer for
     /// a remote one, so that an importer can get it first and announce it nearby.
     fn due(&self, is_importer: bool) -> clock::Millis {
@@ -265,7 +265,7 @@
     }
 }
 
-impl Shelf {
+impl Replica {
     /// The whole catalog, with only the texts that the requester lacks.
     fn full_update(&self, ask: &message::Ask) -> message::Update {
         let mut parts = Vec::with_capacity(self.current.manifest.parts.len());
@@ -280,7 +280,7 @@
     /// The changes since `base`; `None` if the history does not reach back to it.
     fn update_since(&self, kind: catalog::Kind, base: view::Stamp) -> Option<message::Update> {
         let (mut parts, mut removed) = (Vec::new(), Vec::new());
-        for key in self.history.after(base.version)? {
+        for key in self.history.changed_after(base.version)? {
             let Some(digest) = self.current.manifest.parts.get(key) else {
                 removed.push(key.clone());
                 continue;
