--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,23 +1,23 @@
-//! A token budget that bounds extra load to a fraction of useful load.
+//! A token bucket that limits hedges and retries to a fraction of first attempts.
 //!
 //! Each first attempt earns a fraction of a token, and each hedge or retry spends one. While
-//! backend servers fail, few first attempts are admitted, so little is earned and the budget runs
-//! dry: a brown-out cannot be flooded by the tier's own retries. A bucket may also fill with time, where a
-//! bound allows some extra attempts in each span of time however few requests there are.
+//! backend servers fail, few first attempts are admitted, so few tokens are earned and the budget is
+//! exhausted: retries cannot amplify an overload. A bucket may also gain tokens over time, for a limit that
+//! permits some extra attempts per unit of time regardless of the number of requests.
 
 use crate::clock;
 
-/// A bucket of tokens earned by first attempts and spent by extra ones.
+/// A token bucket: first attempts earn tokens, extra attempts spend them.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     tokens: f64,
     fraction: f64,
     capacity: f64,
-    /// The largest capacity that ever was; the bound on what was spent since the start.
-    capacity_most: f64,
-    /// Tokens that it gains in each ms.
+    /// The largest capacity so far; part of the bound on attempts since the start.
+    max_capacity: f64,
+    /// Tokens gained per ms.
     rate: f64,
-    /// Until when these are counted, and all of them so far.
+    /// Instant up to which time-based tokens are added, and their total so far.
     filled_at: clock::Millis,
     gained: f64,
     earned: u64,
@@ -25,14 +25,14 @@
 }
 
 impl Bucket {
-    /// A bucket that earns `fraction` tokens for each first attempt and holds `capacity` at most.
-    /// It starts full, so that the first failures after a start can be mended.
+    /// A bucket that earns `fraction` tokens for each first attempt and holds at most `capacity`.
+    /// It starts full, so that attempts that fail soon after a start can be retried.
     pub fn new(fraction: f64, capacity: f64) -> Self {
         Self {
             tokens: capacity,
             fraction,
             capacity,
-            capacity_most: capacity,
+            max_capacity: capacity,
             rate: 0.0,
             filled_at: clock::Millis::ZERO,
             gained: 0.0,
@@ -41,27 +41,26 @@
         }
     }
 
-    /// A bucket like that of [`Bucket::new`] that starts without tokens. A host that is started anew
-    /// may have spent its part just before it died, and a bound over a window of time counts both
-    /// lives.
+    /// Like [`Bucket::new`], but starts empty. A host may have spent its share just before a restart,
+    /// and a limit over a window of time includes the attempts before and after it.
     pub fn empty(fraction: f64, capacity: f64) -> Self {
         Self { tokens: 0.0, ..Self::new(fraction, capacity) }
     }
 
-    /// Changes the capacity; tokens above it are lost.
+    /// Changes the capacity; tokens above it are discarded.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
-        self.capacity_most = self.capacity_most.max(capacity);
+        self.max_capacity = self.max_capacity.max(capacity);
         self.tokens = self.tokens.min(capacity);
     }
 
-    /// Changes how many tokens it gains in each ms from `now` on.
+    /// Sets the number of tokens gained per ms from `now` on.
     pub fn set_rate(&mut self, now: clock::Millis, rate: f64) {
         self.fill(now);
         self.rate = rate;
     }
 
-    /// Adds the tokens that it has gained until `now`.
+    /// Adds the tokens gained since the last call, up to `now`.
     pub fn fill(&mut self, now: clock::Millis) {
         let gain = self.rate * now.since(self.filled_at).0 as f64;
         self.filled_at = self.filled_at.max(now);
@@ -69,18 +68,18 @@
         self.tokens = (self.tokens + gain).min(self.capacity);
     }
 
-    /// Whether there is a token.
+    /// Whether at least one token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Records `count` first attempts.
+    /// Records `count` first attempts and adds the tokens that they earn.
     pub fn earn(&mut self, count: u64) {
         self.earned += count;
         self.tokens = (self.tokens + self.fraction * count as f64).min(self.capacity);
     }
 
-    /// Takes one token; `false` if there is none.
+    /// Spends one token; `false` if none is available.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -90,29 +89,29 @@
         true
     }
 
-    /// Takes a token that may not be there; only a mutant does this.
-    pub(crate) fn force(&mut self) {
+    /// Counts an extra attempt without taking a token; used only by a mutant.
+    pub(crate) fn force_spend(&mut self) {
         self.spent += 1;
     }
 
-    /// Gives back a token whose extra attempt never reached a server.
+    /// Returns a token whose extra attempt did not reach a server.
     pub fn refund(&mut self) {
         self.spent = self.spent.saturating_sub(1);
         self.tokens = (self.tokens + 1.0).min(self.capacity);
     }
 
-    /// Extra attempts so far.
+    /// The number of extra attempts since the start, without refunded ones.
     pub fn spent(&self) -> u64 {
         self.spent
     }
 
-    /// The most extra attempts that the bound allows so far.
+    /// The number of extra attempts permitted since the start.
     pub fn bound(&self) -> f64 {
-        self.fraction * self.earned as f64 + self.capacity_most + self.gained
+        self.fraction * self.earned as f64 + self.max_capacity + self.gained
     }
 
-    /// Whether the bound on extra load holds; asserted as `bounded_extra_load`.
-    pub fn holds(&self) -> bool {
+    /// Whether the extra attempts are within the bound; asserted as `bounded_extra_load`.
+    pub fn is_within_bound(&self) -> bool {
         self.spent as f64 <= self.bound() + 1e-6
     }
 }
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -1,11 +1,11 @@
-//! Published documents, cut into parts that are named by digest.
+//! Published documents, split into parts that are identified by digest.
 //!
-//! The platform holds values up to a megabyte, and the list of leaves of a large fleet is larger.
-//! So a catalog is a small *manifest* (a version, and for each part its key and digest) and its
-//! *parts*. Operators publish the parts first and the manifest last, which makes a change of many
-//! parts take effect at once; and a host that has most parts fetches only those that differ.
+//! The platform stores values of up to a megabyte, and the list of leaves of a large fleet is larger.
+//! A catalog therefore consists of a small *manifest* (a version, and the key and digest of each part)
+//! and its *parts*. Operators publish the parts first and the manifest last, so that a change of many
+//! parts takes effect atomically, and a host fetches only the parts whose digests differ.
 //!
-//! There are two catalogs: the operators' configuration and the platform's list of hosts.
+//! There are two catalogs: the operators' configuration and the platform's host list.
 
 use std::{fmt, str, sync::Arc};
 
@@ -17,29 +17,29 @@
 
 use crate::view;
 
-/// Largest value that the platform holds, in bytes. Source: the brief, "What the platform gives".
-pub const VALUE_MAX: usize = 1 << 20;
+/// Maximum size of a value in the platform's store, in bytes, as specified for the platform.
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Which catalog.
+/// One of the two catalogs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Services, shards, labels and selectors, by the operators.
+    /// Services, shards, labels and selectors, published by operators.
     Config,
-    /// Entry hosts and backend servers, live and leaving, by the platform.
+    /// Entry hosts and backend servers, live and leaving, published by the platform.
     Hosts,
 }
 
 impl Kind {
-    /// Both.
+    /// Both catalogs, in the order of [`Kind::index`].
     pub const ALL: [Self; 2] = [Self::Config, Self::Hosts];
 
-    /// The row of this catalog in tables of two.
+    /// The index of this catalog in arrays with one element per kind.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// The platform's key of its manifest.
+    /// The key of its manifest in the platform's store.
     pub fn manifest_key(self) -> &'static str {
         match self {
             Self::Config => "shallothub/config",
@@ -57,14 +57,14 @@
     }
 }
 
-/// The digest of a part's text: XXH3, 64 bits. It guards against mixed-up versions, not against
-/// an attacker, who could write the manifest as well.
+/// The digest of a part's text: XXH3, 64 bits. It detects mixed-up versions, not tampering:
+/// an attacker could write the manifest as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "CompactString", into = "CompactString")]
 pub struct Digest(pub u64);
 
 impl Digest {
-    /// The digest of `text`.
+    /// Computes the digest of `text`.
     pub fn of(text: &str) -> Self {
         Self(xxh3::xxh3_64(text.as_bytes()))
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// A text that is not a digest.
+/// An error from parsing a [`Digest`].
 #[derive(Debug, Snafu)]
 #[snafu(display("`{text}` is not a digest: 16 hexadecimal digits, as `shallotctl manifest` prints"))]
 pub struct ParseError {
@@ -108,27 +108,27 @@
     }
 }
 
-/// The list of a catalog's parts.
+/// The version of a catalog and the list of its parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
     /// The number that operators gave the documents; 0 if they have none. See [`view::Stamp::number`].
     #[serde(skip)]
     pub number: u64,
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// Digest of each part, by the platform's key.
+    /// Digest of each part, by its key in the platform's store.
     pub parts: IndexMap<CompactString, Digest>,
 }
 
 impl Manifest {
     /// The identity of this manifest: its version, and a digest over keys and digests in order of
-    /// the keys, so that it does not depend on how the text is laid out.
+    /// the keys, so that it does not depend on the layout of the text.
     pub fn stamp(&self) -> view::Stamp {
-        let mut rows: Vec<_> = self.parts.iter().collect();
-        rows.sort_unstable();
+        let mut parts: Vec<_> = self.parts.iter().collect();
+        parts.sort_unstable();
         let mut hash = xxh3::Xxh3::new();
-        for (key, digest) in rows {
+        for (key, digest) in parts {
             hash.update(key.as_bytes());
             hash.update(&digest.0.to_le_bytes());
         }
@@ -139,14 +139,14 @@
 /// A manifest with the text of every part.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Catalog {
-    /// Which parts.
+    /// Version and parts.
     pub manifest: Manifest,
-    /// Their text, by digest.
+    /// Texts of the parts, by digest.
     pub texts: IndexMap<Digest, Arc<str>>,
 }
 
 impl Catalog {
-    /// The identity of the manifest; the lowest stamp if there is none yet.
+    /// The identity of the manifest; the lowest stamp if the catalog is still empty.
     pub fn stamp(&self) -> view::Stamp {
         if self.manifest.parts.is_empty() {
             return view::Stamp::default();
@@ -154,24 +154,24 @@
         self.manifest.stamp()
     }
 
-    /// Parts of `manifest` whose text is not here.
-    pub fn lacks<'m>(&self, manifest: &'m Manifest) -> Vec<(&'m CompactString, Digest)> {
-        let mut lacking = Vec::new();
+    /// Parts of `manifest` whose text this catalog lacks.
+    pub fn missing_parts<'m>(&self, manifest: &'m Manifest) -> Vec<(&'m CompactString, Digest)> {
+        let mut missing = Vec::new();
         for (key, digest) in &manifest.parts {
             if !self.texts.contains_key(digest) {
-                lacking.push((key, *digest));
+                missing.push((key, *digest));
             }
         }
-        lacking
+        missing
     }
 
-    /// Puts `manifest` in place and forgets texts that it does not name.
+    /// Replaces the manifest and drops texts that it does not list.
     pub fn adopt(&mut self, manifest: Manifest) {
         self.texts.retain(|digest, _| manifest.parts.values().any(|other| other == digest));
         self.manifest = manifest;
     }
 
-    /// Bytes of all texts.
+    /// Total size of all texts, in bytes.
     pub fn bytes(&self) -> usize {
         self.texts.values().map(|text| text.len()).sum()
     }
--- a/crates/core/src/clock.rs
+++ b/crates/core/src/clock.rs
@@ -1,21 +1,21 @@
-//! The one clock type of the system: whole milliseconds.
+//! The time type used throughout the system: whole milliseconds.
 //!
-//! An instant is the number of milliseconds since an origin that the shell picks (its start), and a
-//! span is a number of milliseconds; both are [`Millis`]. Subtraction saturates, because a late
-//! event may carry an earlier instant than the one already seen.
+//! An instant is the number of milliseconds since an origin that the I/O layer chooses (its start), and a
+//! duration is a number of milliseconds; both are [`Millis`]. Subtraction saturates, because a late
+//! event may have an earlier instant than one that was already processed.
 
 use std::{fmt, ops, str};
 
 use serde::{Deserialize, Deserializer, Serialize, de};
 use snafu::Snafu;
 
-/// An instant or a span, in milliseconds.
+/// An instant or a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct Millis(pub u64);
 
 impl<'de> Deserialize<'de> for Millis {
-    /// Reads a number; a fraction, such as another program writes for a whole one, is rounded.
+    /// Accepts integers, and floats because some programs write whole numbers as such; rounds fractions.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         deserializer.deserialize_any(Visitor)
     }
@@ -47,17 +47,17 @@
 }
 
 impl Millis {
-    /// The origin, or an empty span.
+    /// The origin, or an empty duration.
     pub const ZERO: Self = Self(0);
-    /// Later than every instant that occurs.
+    /// An instant that is never reached.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The span from `earlier` to `self`; zero if `earlier` is later.
+    /// The duration from `earlier` to `self`; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
     }
 
-    /// `self` scaled by `factor`, rounded down; negative factors give zero.
+    /// Multiplies `self` by `factor`, rounding down; a negative factor yields zero.
     pub fn scale(self, factor: f64) -> Self {
         Self((self.0 as f64 * factor) as u64)
     }
@@ -85,9 +85,9 @@
     }
 }
 
-/// A text that is not a number of milliseconds.
+/// An error from parsing [`Millis`].
 #[derive(Debug, Snafu)]
-#[snafu(display("`{text}` is not a span: write whole milliseconds, such as `250ms` or `250`"))]
+#[snafu(display("`{text}` is not a duration: write whole milliseconds, such as `250ms` or `250`"))]
 pub struct ParseError {
     text: String,
 }
--- a/crates/core/src/control/message.rs
+++ b/crates/core/src/control/message.rs
@@ -40,7 +40,7 @@
     /// Parts of a catalog.
     Catalog(Update),
     /// Requests that may crash servers.
-    Suspects(Vec<suspect::Told>),
+    Suspects(Vec<suspect::Record>),
     /// May I send an attempt of a request that is suspected?
     AskTrial(Box<Trial>),
     /// You may.
@@ -54,7 +54,7 @@
     pub trial: suspect::Trial,
     /// What is known of the request.
     #[serde(default)]
-    pub row: suspect::Told,
+    pub row: suspect::Record,
 }
 
 /// What a host has, and how long ago the platform confirmed it.
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -289,8 +289,8 @@
     }
 
     /// Requests that may crash servers, as this host knows them.
-    pub fn suspects(&self) -> Vec<suspect::Told> {
-        self.suspects.table.rows(self.now)
+    pub fn suspects(&self) -> Vec<suspect::Record> {
+        self.suspects.table.records(self.now)
     }
 
     /// Counters since the start.
--- a/crates/core/src/control/platform.rs
+++ b/crates/core/src/control/platform.rs
@@ -128,7 +128,7 @@
     fn collect(&mut self, kind: catalog::Kind, manifest: catalog::Manifest) {
         let shelf = &mut self.shelves[kind.index()];
         let lacking: Vec<CompactString> =
-            shelf.current.lacks(&manifest).into_iter().map(|(key, _)| key.clone()).collect();
+            shelf.current.missing_parts(&manifest).into_iter().map(|(key, _)| key.clone()).collect();
         shelf.pending = Some(manifest);
         shelf.read_at = self.now + WATCH_PAUSE;
         for key in lacking {
--- a/crates/core/src/control/shelf.rs
+++ b/crates/core/src/control/shelf.rs
@@ -78,7 +78,7 @@
         let Some(manifest) = shelf.pending.take() else {
             return false;
         };
-        if !shelf.current.lacks(&manifest).is_empty() {
+        if !shelf.current.missing_parts(&manifest).is_empty() {
             shelf.pending = Some(manifest);
             return false;
         }
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -186,7 +186,7 @@
             return;
         }
         shelf.current.texts.extend(texts);
-        if !shelf.current.lacks(&manifest).is_empty() {
+        if !shelf.current.missing_parts(&manifest).is_empty() {
             self.ask_whole(from, kind);
             return;
         }
--- a/crates/core/src/control/suspects.rs
+++ b/crates/core/src/control/suspects.rs
@@ -42,14 +42,14 @@
 
 impl Core {
     pub(super) fn on_crash(&mut self, crash: suspect::Crash) {
-        if self.suspects.table.crash(self.now, &crash) {
+        if self.suspects.table.record_crash(self.now, &crash) {
             self.outputs.push(Output::Note(note::Note::Crash(crash)));
             self.publish_suspects();
         }
     }
 
     pub(super) fn on_cleared(&mut self, fingerprint: suspect::Fingerprint) {
-        if self.suspects.table.answer(self.now, fingerprint) {
+        if self.suspects.table.record_answer(self.now, fingerprint) {
             self.outputs.push(Output::Note(note::Note::Cleared(fingerprint)));
             self.publish_suspects();
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn on_suspects(&mut self, rows: &[suspect::Told]) {
+    pub(super) fn on_suspects(&mut self, rows: &[suspect::Record]) {
         let mut is_new = false;
         for told in rows {
             is_new |= self.suspects.table.merge(self.now, told);
@@ -81,7 +81,7 @@
             }
             return;
         };
-        let row = self.suspects.table.row(self.now, trial.fingerprint);
+        let row = self.suspects.table.record(self.now, trial.fingerprint);
         self.say(to, message::Body::AskTrial(Box::new(message::Trial { trial, row })));
     }
 
@@ -99,7 +99,7 @@
         self.on_suspects(std::slice::from_ref(&asked.row));
         // A host that knows of fewer others may ask the wrong one.
         let is_granted = self.grantor(asked.trial.fingerprint).is_none() && self.grant(asked.trial);
-        let row = self.suspects.table.row(self.now, asked.trial.fingerprint);
+        let row = self.suspects.table.record(self.now, asked.trial.fingerprint);
         let body = match is_granted {
             true => message::Body::GrantTrial(Box::new(message::Trial { row, ..asked })),
             false => message::Body::Suspects(vec![row]),
@@ -113,14 +113,14 @@
     }
 
     pub(super) fn take_back_trial(&mut self, trial: suspect::Trial) {
-        if self.suspects.table.take_back(self.now, trial) {
+        if self.suspects.table.cancel_trial(self.now, trial) {
             self.publish_suspects();
         }
     }
 
     fn grant(&mut self, trial: suspect::Trial) -> bool {
         // A host that has just started may not know who else could grant.
-        let is_granted = self.standing == Standing::Settled && self.suspects.table.grant(self.now, trial);
+        let is_granted = self.standing == Standing::Settled && self.suspects.table.grant_trial(self.now, trial);
         if is_granted {
             self.outputs.push(Output::Note(note::Note::Trial(trial)));
             self.publish_suspects();
@@ -133,9 +133,9 @@
         let standings = self.suspects.table.standings();
         let is_convicted = |standing: &&suspect::Standing| matches!(standing, suspect::Standing::Convicted { .. });
         self.stats.suspects = standings.len() as u64;
-        self.stats.held = standings.values().filter(|standing| standing.ends_running()).count() as u64;
+        self.stats.held = standings.values().filter(|standing| standing.cancels_running()).count() as u64;
         self.stats.convicted = standings.values().filter(is_convicted).count() as u64;
-        self.suspects.next_at = self.suspects.table.next();
+        self.suspects.next_at = self.suspects.table.next_expiry();
         let standings = Arc::new(standings);
         let before = std::mem::replace(&mut self.suspects.published, Arc::clone(&standings));
         for (&fingerprint, &standing) in standings.iter() {
@@ -143,7 +143,7 @@
             if is_same {
                 continue;
             }
-            let (servers, attempts) = self.suspects.table.evidence(fingerprint);
+            let (servers, attempts) = self.suspects.table.evidence_counts(fingerprint);
             self.outputs.push(Output::Note(note::Note::Suspect { fingerprint, standing, servers, attempts }));
         }
         self.outputs.push(Output::Suspects(standings));
@@ -163,7 +163,7 @@
 
     /// When news is told next.
     fn news_at(&self) -> clock::Millis {
-        let Some(is_held) = self.suspects.table.news().filter(|_| !self.peers.is_empty()) else {
+        let Some(is_held) = self.suspects.table.has_held_update().filter(|_| !self.peers.is_empty()) else {
             return clock::Millis::MAX;
         };
         let pause = if is_held { PAUSE } else { SUSPECT_PAUSE };
@@ -179,7 +179,7 @@
         if peers.is_empty() || self.suspects.table.is_empty() {
             return;
         }
-        let rows = self.suspects.table.tell(self.now, ROWS);
+        let rows = self.suspects.table.take_records(self.now, ROWS);
         for to in peers {
             self.say(to, message::Body::Suspects(rows.clone()));
         }
@@ -188,7 +188,7 @@
     /// Tells a host whose digest differs.
     pub(super) fn tell_differing(&mut self, to: CompactString) {
         if !self.suspects.table.is_empty() {
-            let rows = self.suspects.table.tell(self.now, ROWS_DIFFERING);
+            let rows = self.suspects.table.take_records(self.now, ROWS_DIFFERING);
             self.say(to, message::Body::Suspects(rows));
         }
     }
--- a/crates/core/src/control/views.rs
+++ b/crates/core/src/control/views.rs
@@ -37,7 +37,7 @@
             return;
         }
         if mutant::is(mutant::Mutant::ForgetLeaving) {
-            self.servers.forget_marks();
+            self.servers.clear_marks();
         }
         let stamps = [self.shelves[0].stamp, self.shelves[1].stamp];
         let held = self.registry.held.leafs();
@@ -58,12 +58,12 @@
         let is_settled = self.standing == Standing::Settled;
         let tolerance = view::Tolerance { overage: self.policy.warm_up_overage, slack: self.policy.warm_up_slack };
         let fleet = plan::Fleet {
-            this: Some(&this),
+            local: Some(&this),
             members,
             is_settled,
             relays: &relays,
             held: &held,
-            reborn: &reborn,
+            restarted: &reborn,
             tolerance,
             regions: Some(&self.identity.regions),
         };
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,8 +1,8 @@
 //! Identifiers of entities.
 //!
-//! A [`Server`] is an index that stays the same for the life of the process, so that connection
-//! counts and latencies survive a change of view. A [`Query`] and an [`Attempt`] are indexes into a
-//! [`crate::table::Table`] with a generation, so a late message for a dead entity misses.
+//! A [`Server`] is an index that is stable for the lifetime of the process, so that connection counts
+//! and latencies outlive a change of view. A [`Query`] and an [`Attempt`] are generational keys into a
+//! [`crate::table::Table`], so that a late message for a removed entity is not matched.
 
 use std::{fmt, str};
 
@@ -10,13 +10,13 @@
 
 use crate::table;
 
-/// A backend server, by its place in the process-wide registry of [`crate::view::Registry`].
+/// A backend server, as its index in [`crate::view::Registry`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Server(pub u32);
 
 impl Server {
-    /// The index into tables of servers.
+    /// The index into arrays of servers.
     pub fn index(self) -> usize {
         self.0 as usize
     }
@@ -36,16 +36,16 @@
     }
 }
 
-/// A service, by its place in [`crate::view::Registry`].
+/// A service, as its index in [`crate::view::Registry`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Service(pub u32);
 
 impl Service {
-    /// Stands for other hosts, whose work is not bounded as a service's is.
+    /// Placeholder for other hosts as targets, to which the limits of services do not apply.
     pub const PEERS: Self = Self(u32::MAX);
 
-    /// The index into tables of services.
+    /// The index into arrays of services.
     pub fn index(self) -> usize {
         self.0 as usize
     }
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Query(pub table::Key);
 
-/// One try of a query at one backend server.
+/// One attempt to run a query at one backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Attempt(pub table::Key);
 
@@ -85,6 +85,6 @@
     }
 }
 
-/// The caller's handle for one request, chosen by the shell and unique in its traffic thread.
+/// Identifies a caller's request; assigned by the I/O layer and unique within its traffic thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Caller(pub u64);
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,32 +1,32 @@
-//! The promises that are asserted while the program runs, in release builds too.
+//! Invariants (*promises* in logs and metrics) that are checked at run time, also in release builds.
 //!
-//! A breach never stops the node: it is counted by name and logged with the query's history, and
-//! the answer that would have broken the promise is withheld where that is still possible.
+//! A violation (*breach*) does not stop the node: it is counted by name and logged with the query's
+//! history, and the answer that would violate the invariant is withheld if that is still possible.
 
 use std::fmt;
 
-/// A promise of the system, by the name used in logs, metrics and `docs/PROOFS.md`.
+/// The name of a promise, as used in logs, metrics and `docs/PROOFS.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Name {
-    /// Every part of an answer has one index version and one partition epoch.
+    /// All parts of an answer have the same index version and partition epoch.
     OneSnapshot,
-    /// Reported coverage is exactly the shards whose reply is in the body.
+    /// The reported coverage is exactly the set of shards whose reply is in the body.
     TrueCoverage,
-    /// Each answer goes once, to its own caller, with no part of another's.
+    /// Each answer is sent once, to its own caller, and has no part of another answer.
     OwnWholeAnswer,
-    /// No attempt of a query that is reported as not run was executed.
+    /// No attempt of a query that is reported as not run has been executed.
     NotRunMeansNotRun,
-    /// A query that is not idempotent has at most one attempt that may have run.
+    /// At most one attempt of a query that is not idempotent may have run.
     AtMostOnce,
-    /// No dispatch goes to a server that the view in force marks as leaving.
+    /// No attempt is dispatched to a server that the current view marks as leaving.
     NoWorkToLeaving,
-    /// No dispatch goes to a server whose data centre the view in force has as evacuated.
+    /// No attempt is dispatched to a server whose data centre is evacuated in the current view.
     NoWorkToEvacuated,
-    /// The version in force never falls.
+    /// The version of the current configuration never decreases.
     ConfigMonotonic,
-    /// Extra attempts stay inside their budget.
+    /// Hedges and retries stay within their budget.
     BoundedExtraLoad,
-    /// A server that warms up gets no more from this host than its part.
+    /// This host sends a server that warms up no more than this host's share of its limit.
     BoundedWarmUp,
     /// Attempts in flight at a server never exceed this host's share of its connections.
     BoundedConnections,
@@ -48,7 +48,7 @@
         Self::BoundedConnections,
     ];
 
-    /// The name in logs and metrics.
+    /// The name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::OneSnapshot => "one_snapshot",
@@ -72,11 +72,11 @@
     }
 }
 
-/// A promise that did not hold, with the history needed to find out why.
+/// A violated promise, with the history needed to diagnose it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The promise.
+    /// The violated promise.
     pub name: Name,
-    /// What was seen, with ids.
+    /// Description of the violation, with the ids involved.
     pub detail: String,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,13 +1,13 @@
-//! Every decision of a shallothub node, as a pure state machine.
+//! The decision logic of a shallothub node, as pure state machines.
 //!
-//! This package does no I/O, reads no clock, starts no thread and draws randomness only from a
-//! seeded generator handed to it. A shell feeds inputs (time, requests, replies, documents, peer
-//! messages) and carries out the outputs (dispatch, cancel, answer, send). The same code therefore
-//! runs behind sockets in a node and under a fake clock in the randomised tests.
+//! This package performs no I/O, reads no clock, starts no threads and takes randomness only from a
+//! seeded generator that is passed in. An I/O layer feeds inputs (time, requests, replies, documents, peer
+//! messages) and executes the outputs (dispatch, cancel, answer, send). The same code therefore
+//! runs behind sockets in a node and with a simulated clock in the randomised tests.
 //!
-//! Two machines live here: [`traffic::Core`], one per traffic thread, and [`control::Core`], one
-//! per node. Control hands traffic an immutable [`view::View`]; a query pins the view with which it
-//! began until it ends, so a configuration change never alters a query half way.
+//! There are two state machines: [`traffic::Core`], one per traffic thread, and [`control::Core`], one
+//! per node. Control passes an immutable [`view::View`] to traffic; a query keeps the view with which it
+//! started until it ends, so that a configuration change never affects a query in progress.
 
 pub mod budget;
 pub mod catalog;
--- a/crates/core/src/mutant.rs
+++ b/crates/core/src/mutant.rs
@@ -1,39 +1,39 @@
-//! Guards that a test may take out, to show that the checks can fail.
+//! Mutation testing: guards that a test can disable, to show that the checks detect their absence.
 //!
-//! Without the `mutants` feature every question is a constant `false` and costs nothing. With it,
-//! a test picks one guard for its thread, and the randomised run must then report a breach; the
-//! table in `docs/PROOFS.md` lists which seed caught which guard.
+//! Without the `mutants` feature, every check of a mutant is a constant `false` and has no cost. With it,
+//! a test disables one guard for its thread, and the randomised run must then report a breach; the
+//! table in `docs/PROOFS.md` lists the seed that detected each mutant.
 
 use std::cell;
 
-/// A guard of the core that can be taken out.
+/// A mutation of the core that disables one guard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// Replies of any snapshot are put into one answer.
+    /// Replies of different snapshots are merged into one answer.
     MixSnapshots,
-    /// Silent shards are reported as covered.
+    /// Shards that did not reply are reported as covered.
     CountSilent,
-    /// A reply is accepted although its attempt was given up.
+    /// A reply is accepted although its attempt was abandoned.
     AcceptLate,
-    /// A query whose attempts have an unknown fate is reported as not run.
+    /// A query whose attempts have an unknown outcome is reported as not run.
     AssumeNotRun,
-    /// A query that is not idempotent is sent again after an unknown fate.
+    /// A query that is not idempotent is retried after an unknown outcome.
     RetryUnknown,
-    /// Requests whose deadline passed during a pause are dispatched all the same.
+    /// Requests whose deadline passed during a process pause are still dispatched.
     IgnorePause,
-    /// A later host list may clear a leaving mark.
+    /// A later host list can clear a leaving mark.
     ForgetLeaving,
-    /// A leaving server may still be chosen.
+    /// A leaving server can still be chosen.
     ChooseLeaving,
     /// An older configuration replaces a newer one.
     AcceptOlder,
-    /// Hedges and retries need no budget.
+    /// Hedges and retries are not limited by a budget.
     UnboundedExtra,
-    /// The connection share follows from the hosts that can be reached.
+    /// The connection share depends on the reachable hosts instead of the published ones.
     ShareByReach,
-    /// Servers of an evacuated data centre get work as before.
+    /// Servers of an evacuated data centre still get new work.
     IgnoreEvacuation,
-    /// A key of a request that is not idempotent is forgotten at once.
+    /// The key of a request that is not idempotent is dropped immediately.
     ForgetKeys,
 }
 
@@ -41,18 +41,18 @@
     static CURRENT: cell::Cell<Option<Mutant>> = const { cell::Cell::new(None) };
 }
 
-/// Takes out `mutant`'s guard for this thread, or none. Has no effect without the feature.
+/// Activates `mutant` for this thread, or none. Has no effect without the `mutants` feature.
 pub fn set(mutant: Option<Mutant>) {
     CURRENT.set(mutant);
 }
 
-/// Whether any guard is out. A test that takes one out wants to see what callers would get, so the
-/// program then does not withhold what breaks a promise.
+/// Whether any mutant is active. Answers that break a promise are then not withheld, so that a test sees
+/// what callers would receive.
 pub fn is_any() -> bool {
     cfg!(feature = "mutants") && CURRENT.get().is_some()
 }
 
-/// Whether the guard of `mutant` is out.
+/// Whether `mutant` is active on this thread.
 #[inline]
 pub fn is(mutant: Mutant) -> bool {
     cfg!(feature = "mutants") && CURRENT.get() == Some(mutant)
--- a/crates/core/src/plan/check.rs
+++ b/crates/core/src/plan/check.rs
@@ -1,13 +1,13 @@
-//! Faults of a configuration, looked at as a whole.
+//! Validation of a configuration as a whole.
 
 use compact_str::CompactString;
 use indexmap::{IndexMap, IndexSet};
 
 use crate::{clock, view};
 
-use super::{Fault, Part, Place, Reach, Selector, Server, Service, routing, targets};
+use super::{Fault, Part, Position, Reach, Selector, Server, Service, routing, targets};
 
-/// All faults of the parts of one configuration, looked at together. `parts` are keyed by document.
+/// Validates the parts of one configuration together and returns all faults. `parts` are keyed by document.
 pub fn check<'p>(parts: impl IntoIterator<Item = (&'p CompactString, &'p Part)>) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut services: IndexMap<&CompactString, &Service> = IndexMap::new();
@@ -15,15 +15,15 @@
     let mut selectors = Vec::new();
     for (document, part) in parts {
         match part {
-            Part::Services { services: rows, .. } => {
-                for service in rows {
+            Part::Services { services: configured, .. } => {
+                for service in configured {
                     check_service(document, service, &mut servers, &mut faults);
                     if services.insert(&service.name, service).is_some() {
-                        faults.push(duplicate(document, service.place, "service", &service.name));
+                        faults.push(duplicate(document, service.position, "service", &service.name));
                     }
                 }
             }
-            Part::Selectors(rows) => selectors.extend(rows.iter().map(|row| (document, row))),
+            Part::Selectors(configured) => selectors.extend(configured.iter().map(|selector| (document, selector))),
             Part::Routing(routing) => routing::check(document, routing, &mut faults),
             Part::Evacuation(data_centres) => check_evacuation(document, data_centres, &mut faults),
             Part::Hosts { .. } | Part::Leaf(_) | Part::Unreadable(_) => {}
@@ -32,20 +32,20 @@
     let mut names = IndexSet::new();
     for (document, selector) in selectors {
         if !names.insert(&selector.name) {
-            faults.push(duplicate(document, selector.place, "selector", &selector.name));
+            faults.push(duplicate(document, selector.position, "selector", &selector.name));
         }
         check_selector(document, selector, services.get(&selector.service).copied(), &mut faults);
     }
     faults
 }
 
-/// That a data centre exists cannot be told from the configuration alone, and one that does not harms nobody.
+/// Does not check that the data centres exist: the configuration does not list them, and an unknown one has no effect.
 fn check_evacuation(document: &CompactString, data_centres: &[CompactString], faults: &mut Vec<Fault>) {
     let mut names = IndexSet::new();
     for name in data_centres {
         let mut fault = |problem: String, remedy: &str| {
-            let place = Place { line: 1, column: 1 };
-            faults.push(Fault { document: document.clone(), place, problem, remedy: remedy.to_owned() });
+            let position = Position { line: 1, column: 1 };
+            faults.push(Fault { document: document.clone(), position, problem, remedy: remedy.to_owned() });
         };
         if name.is_empty() {
             fault("an evacuated data centre has no name".to_owned(), "name it as in the list of hosts");
@@ -56,11 +56,11 @@
     }
 }
 
-fn duplicate(document: &CompactString, place: Place, what: &str, name: &str) -> Fault {
+fn duplicate(document: &CompactString, position: Position, kind: &str, name: &str) -> Fault {
     Fault {
         document: document.clone(),
-        place,
-        problem: format!("the {what} `{name}` is defined twice"),
+        position,
+        problem: format!("the {kind} `{name}` is defined twice"),
         remedy: "keep one of the two, or give it another name".to_owned(),
     }
 }
@@ -71,12 +71,12 @@
     servers: &mut IndexSet<&'p CompactString>,
     faults: &mut Vec<Fault>,
 ) {
-    let mut held: IndexMap<&CompactString, bool> = IndexMap::new();
+    let mut held_shards: IndexMap<&CompactString, bool> = IndexMap::new();
     for shard in &service.shards {
-        if held.insert(shard, false).is_some() {
+        if held_shards.insert(shard, false).is_some() {
             faults.push(Fault {
                 document: document.clone(),
-                place: service.place,
+                position: service.position,
                 problem: format!("shard `{shard}` of `{}` overlaps itself: it is listed twice", service.name),
                 remedy: "list each shard once".to_owned(),
             });
@@ -84,19 +84,19 @@
     }
     for server in &service.servers {
         if !servers.insert(&server.name) {
-            faults.push(duplicate(document, server.place, "server", &server.name));
+            faults.push(duplicate(document, server.position, "server", &server.name));
         }
-        check_server(document, service, server, &mut held, faults);
+        check_server(document, service, server, &mut held_shards, faults);
     }
-    for (shard, is_held) in held {
+    for (shard, is_held) in held_shards {
         if is_held {
             continue;
         }
         faults.push(Fault {
             document: document.clone(),
-            place: service.place,
+            position: service.position,
             problem: format!("no server holds shard `{shard}` of `{}`", service.name),
-            remedy: "add it to a server's `shards`, or take it from the service's".to_owned(),
+            remedy: "add it to a server's `shards`, or remove it from the service's".to_owned(),
         });
     }
 }
@@ -105,7 +105,7 @@
     document: &CompactString,
     service: &'p Service,
     server: &'p Server,
-    held: &mut IndexMap<&'p CompactString, bool>,
+    held_shards: &mut IndexMap<&'p CompactString, bool>,
     faults: &mut Vec<Fault>,
 ) {
     let mut seen = IndexSet::new();
@@ -113,15 +113,15 @@
         if !seen.insert(shard) {
             faults.push(Fault {
                 document: document.clone(),
-                place: server.place,
+                position: server.position,
                 problem: format!("server `{}` holds shard `{shard}` twice", server.name),
                 remedy: "list each shard once".to_owned(),
             });
         }
-        let Some(is_held) = held.get_mut(shard) else {
+        let Some(is_held) = held_shards.get_mut(shard) else {
             faults.push(Fault {
                 document: document.clone(),
-                place: server.place,
+                position: server.position,
                 problem: format!(
                     "server `{}` holds shard `{shard}`, which `{}` does not have",
                     server.name, service.name
@@ -135,7 +135,7 @@
     if server.connections == 0 || server.slots == 0 {
         faults.push(Fault {
             document: document.clone(),
-            place: server.place,
+            position: server.position,
             problem: format!("server `{}` accepts no connections or has no slots", server.name),
             remedy: "give `connections` and `slots` of at least 1".to_owned(),
         });
@@ -144,7 +144,7 @@
 
 fn check_selector(document: &CompactString, selector: &Selector, service: Option<&Service>, faults: &mut Vec<Fault>) {
     let mut fault = |problem: String, remedy: String| {
-        faults.push(Fault { document: document.clone(), place: selector.place, problem, remedy });
+        faults.push(Fault { document: document.clone(), position: selector.position, problem, remedy });
     };
     let name = &selector.name;
     if selector.deadline == clock::Millis::ZERO {
@@ -157,7 +157,7 @@
         );
     }
     if usize::from(selector.priority) >= view::Class::PRIORITIES {
-        fault(format!("selector `{name}` has no such priority"), "use 0 (first) to 3 (last)".to_owned());
+        fault(format!("selector `{name}` has an invalid priority"), "use 0 (highest) to 3 (lowest)".to_owned());
     }
     if selector.homes.iter().any(CompactString::is_empty) {
         fault(
--- a/crates/core/src/plan/compile.rs
+++ b/crates/core/src/plan/compile.rs
@@ -1,4 +1,4 @@
-//! From accepted parts to a view.
+//! Compiles accepted parts to a view.
 
 use compact_str::CompactString;
 use indexmap::{IndexMap, IndexSet};
@@ -9,56 +9,56 @@
     BackendServer, EntryHost, Leaf, Part, Regions, Relay, Selector, Server, Service, State, WarmUp, routing, targets,
 };
 
-/// Most connections to a server of a host that is not settled. After the death of a whole fleet each host
-/// knows only itself at first and would take all, while the server may still count those of the dead.
+/// Limit on connections to a server from a host that is not settled. After a restart of the whole fleet each host
+/// knows only itself at first and would use all connections, while the server may still count those of the old hosts.
 const UNSETTLED_SHARE: u32 = 1;
 
-/// What a host knows that no document says.
+/// This host's knowledge of the fleet that is not in the documents.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fleet<'l> {
-    /// This host; `None` if the documents say all that is needed.
-    pub this: Option<&'l Relay>,
-    /// The other hosts that take requests of this one.
+    /// This host; `None` if the documents suffice without it.
+    pub local: Option<&'l Relay>,
+    /// The other known hosts, to which this one may relay requests.
     pub relays: &'l [Relay],
-    /// Entry hosts that may hold connections, this one included, as far as hosts heard of each
-    /// other; 0 if the documents list them.
+    /// Number of known entry hosts that may hold connections, including this one; 0 if the documents
+    /// list them.
     pub members: u32,
-    /// Whether this host may take its full share of connections; see [`crate::control::Standing`].
+    /// Whether this host may use its full share of connections; see [`crate::control::Standing`].
     pub is_settled: bool,
-    /// Servers whose entry is missing but that still count.
+    /// Servers that stay in the view although their entry is missing.
     pub held: &'l [Leaf],
-    /// Servers whose listed entry is of an earlier life, as their present one described itself.
-    pub reborn: &'l [Leaf],
-    /// How far above their bound all hosts together may be at servers that warm up.
+    /// Servers whose listed entry is of an earlier incarnation, as described by their current one.
+    pub restarted: &'l [Leaf],
+    /// Permitted excess of all hosts together over the rate limit of servers that warm up.
     pub tolerance: view::Tolerance,
-    /// The region of each data centre, if that is known.
+    /// The region of each data centre, if known.
     pub regions: Option<&'l Regions>,
 }
 
-/// Builds the view of accepted parts. Leaving marks are added to `registry` and taken from it, so
-/// that a mark once seen stays for that incarnation.
+/// Compiles accepted parts to a view. Leaving marks are added to `registry` and read from it, so that
+/// a mark persists for that incarnation.
 pub fn compile<'p>(
     stamps: [view::Stamp; 2],
     parts: impl IntoIterator<Item = &'p Part>,
     fleet: Fleet<'p>,
     registry: &mut view::Registry,
 ) -> view::View {
-    let mut most = 0;
+    let mut max_entry_hosts = 0;
     let mut entry_hosts = 0;
     let mut listed: IndexMap<&CompactString, &BackendServer> = IndexMap::new();
     let mut services = IndexMap::new();
     let mut selectors = Vec::new();
-    let mut leafs: IndexMap<&CompactString, &Leaf> = IndexMap::new();
+    let mut leaves: IndexMap<&CompactString, &Leaf> = IndexMap::new();
     let mut routings = Vec::new();
     let mut evacuated = IndexSet::new();
     let mut entry_names = Vec::new();
     for part in parts {
         match part {
-            Part::Services { entry_hosts_most, services: rows } => {
-                most = most.max(*entry_hosts_most);
-                services.extend(rows.iter().map(|service: &Service| (&service.name, service)));
+            Part::Services { entry_hosts_most, services: configured } => {
+                max_entry_hosts = max_entry_hosts.max(*entry_hosts_most);
+                services.extend(configured.iter().map(|service: &Service| (&service.name, service)));
             }
-            Part::Selectors(rows) => selectors.extend(rows),
+            Part::Selectors(configured) => selectors.extend(configured),
             Part::Hosts { entry_hosts: hosts, backend_servers } => {
                 entry_hosts += count_hosts(hosts);
                 entry_names.extend(hosts.iter().map(|host| host.name.clone()));
@@ -66,24 +66,24 @@
             }
             Part::Routing(routing) => routings.push(routing),
             Part::Leaf(leaf) => {
-                leafs.insert(&leaf.name, leaf);
+                leaves.insert(&leaf.name, leaf);
             }
             Part::Evacuation(data_centres) => evacuated.extend(data_centres.iter().cloned()),
             Part::Unreadable(_) => {}
         }
     }
     for leaf in fleet.held {
-        leafs.entry(&leaf.name).or_insert(leaf);
+        leaves.entry(&leaf.name).or_insert(leaf);
     }
-    for leaf in fleet.reborn {
-        leafs.insert(&leaf.name, leaf);
+    for leaf in fleet.restarted {
+        leaves.insert(&leaf.name, leaf);
     }
     let mut view = view::View {
         stamp: stamps[0],
         hosts_revision: stamps[1],
-        host: fleet.this.map(|this| this.name.clone()).unwrap_or_default(),
+        host: fleet.local.map(|local| local.name.clone()).unwrap_or_default(),
         tolerance: fleet.tolerance,
-        hosts: if mutant::is(mutant::Mutant::ShareByReach) { entry_hosts } else { most.max(entry_hosts) },
+        hosts: if mutant::is(mutant::Mutant::ShareByReach) { entry_hosts } else { max_entry_hosts.max(entry_hosts) },
         evacuated,
         ..view::View::default()
     };
@@ -102,33 +102,33 @@
         view.classes.insert(selector.name.clone(), class);
     }
     for routing in routings {
-        routing::add(&mut view, routing, &leafs, &fleet, registry);
+        routing::add(&mut view, routing, &leaves, &fleet, registry);
     }
     view
 }
 
 /// Adds the servers that registered themselves, and returns them by service. `shares` are this host's
-/// shares of connections, by service, where they do not follow from the number of hosts.
-pub(super) fn add_leafs<'l>(
+/// shares of connections by service; services that are not in it are shared equally by all hosts.
+pub(super) fn add_leaves<'l>(
     view: &mut view::View,
     routing: &routing::Routing,
-    leafs: &IndexMap<&CompactString, &'l Leaf>,
+    leaves: &IndexMap<&CompactString, &'l Leaf>,
     fleet: &Fleet<'_>,
     shares: &IndexMap<CompactString, u32>,
     registry: &mut view::Registry,
 ) -> IndexMap<CompactString, Vec<(id::Server, &'l Leaf)>> {
-    let here = fleet.this.map_or("", |this| this.data_centre.as_str());
-    let services: IndexMap<&CompactString, &routing::Backing> =
+    let local_centre = fleet.local.map_or("", |local| local.data_centre.as_str());
+    let services: IndexMap<&CompactString, &routing::Upstream> =
         routing.services.iter().map(|service| (&service.name, service)).collect();
     let mut by_service: IndexMap<CompactString, Vec<(id::Server, &Leaf)>> = IndexMap::new();
-    for &leaf in leafs.values() {
-        let backing = services.get(&leaf.service);
-        let accepted = backing.map_or(0, |backing| backing.connections);
-        let warm_up = backing.and_then(|backing| backing.warm_up);
-        // A server that accepts fewer connections than there are hosts turns some away; that is better
-        // than hosts that cannot reach it at all.
-        let equal = (accepted / view.hosts.max(1)).max(1);
-        let share = shares.get(&leaf.service).copied().unwrap_or(equal);
+    for &leaf in leaves.values() {
+        let upstream = services.get(&leaf.service);
+        let accepted = upstream.map_or(0, |upstream| upstream.connections);
+        let warm_up = upstream.and_then(|upstream| upstream.warm_up);
+        // At least one connection per host: a server with a limit below the number of hosts refuses some
+        // connections, which is better than hosts that never use it.
+        let equal_share = (accepted / view.hosts.max(1)).max(1);
+        let share = shares.get(&leaf.service).copied().unwrap_or(equal_share);
         let id = registry.intern(&leaf.name);
         if leaf.leaving {
             registry.mark_leaving(id, leaf.incarnation);
@@ -142,10 +142,10 @@
             leaving: registry.is_leaving(id, leaf.incarnation),
             evacuated: is_evacuated(view, &leaf.data_centre),
             region: CompactString::from(routing::region(fleet.regions, &leaf.data_centre)),
-            distance: if leaf.data_centre == here { view::Distance::Near } else { view::Distance::Far },
+            distance: if leaf.data_centre == local_centre { view::Distance::Near } else { view::Distance::Far },
             own_share: Some(if fleet.is_settled { share } else { share.min(UNSETTLED_SHARE) }),
             is_peer: false,
-            warm_up: warm_up.map(|warm_up| bound(warm_up, leaf.warming, &leaf.service, registry)),
+            warm_up: warm_up.map(|warm_up| warm_up_limits(warm_up, leaf.warming, &leaf.service, registry)),
         };
         put_server(view, id, server);
         by_service.entry(leaf.service.clone()).or_default().push((id, leaf));
@@ -153,16 +153,16 @@
     by_service
 }
 
-fn bound(warm_up: WarmUp, is_warming: bool, service: &str, registry: &mut view::Registry) -> view::WarmUp {
-    let WarmUp { span, rate } = warm_up;
-    view::WarmUp { is_warming, span, rate, service: registry.intern_service(service) }
+fn warm_up_limits(warm_up: WarmUp, is_warming: bool, service: &str, registry: &mut view::Registry) -> view::WarmUp {
+    let WarmUp { duration, rate } = warm_up;
+    view::WarmUp { is_warming, duration, rate, service: registry.intern_service(service) }
 }
 
 fn is_evacuated(view: &view::View, data_centre: &CompactString) -> bool {
     view.evacuated.contains(data_centre) && !mutant::is(mutant::Mutant::IgnoreEvacuation)
 }
 
-/// Puts a server into its place in the view.
+/// Stores a server at its index in the view.
 pub(super) fn put_server(view: &mut view::View, id: id::Server, server: view::Server) {
     if view.servers.len() <= id.index() {
         view.servers.resize(id.index() + 1, None);
@@ -170,12 +170,12 @@
     view.servers[id.index()] = Some(server);
 }
 
-/// Entry hosts that may hold connections: leaving ones do until they are gone.
+/// Counts entry hosts that may hold connections, including leaving ones.
 fn count_hosts(hosts: &[EntryHost]) -> u32 {
     let mut count = 0;
     for host in hosts {
-        let is_gone = mutant::is(mutant::Mutant::ShareByReach) && host.state == State::Leaving;
-        count += u32::from(!is_gone);
+        let is_skipped = mutant::is(mutant::Mutant::ShareByReach) && host.state == State::Leaving;
+        count += u32::from(!is_skipped);
     }
     count
 }
@@ -198,7 +198,7 @@
     if is_marked {
         registry.mark_leaving(id, listed.incarnation);
     }
-    let row = view::Server {
+    let compiled = view::Server {
         name: server.name.clone(),
         address: listed.address.clone(),
         incarnation: listed.incarnation,
@@ -212,10 +212,10 @@
         is_peer: false,
         warm_up: None,
     };
-    put_server(view, id, row);
+    put_server(view, id, compiled);
 }
 
-/// Adds what the servers of `service` bear while they warm up, and that all listed hosts may send to them.
+/// Adds the warm-up limits of the servers of `service`, with all listed hosts as senders.
 fn add_warm_up(
     view: &mut view::View,
     service: &Service,
@@ -230,14 +230,14 @@
     for server in &service.servers {
         let id = registry.intern(&server.name);
         let is_warming = listed.get(&server.name).is_some_and(|listed| listed.warming);
-        if let Some(row) = view.servers[id.index()].as_mut() {
-            row.warm_up = Some(bound(warm_up, is_warming, &service.name, registry));
+        if let Some(compiled) = view.servers[id.index()].as_mut() {
+            compiled.warm_up = Some(warm_up_limits(warm_up, is_warming, &service.name, registry));
         }
     }
 }
 
 fn class(selector: &Selector, service: &Service, view: &view::View, registry: &mut view::Registry) -> view::Class {
-    let budget = registry.intern_service(&service.name);
+    let service_id = registry.intern_service(&service.name);
     let mut compiled = Vec::new();
     for (shard, servers) in targets(selector, service) {
         let ids = servers.iter().map(|server| registry.intern(&server.name));
@@ -246,16 +246,16 @@
             view::is_home(&selector.homes, region)
         };
         let replicas = ids.filter(is_home).collect();
-        compiled.push(view::Target { shard, service: budget, replicas });
+        compiled.push(view::Target { shard, service: service_id, replicas });
     }
     view::Class {
         name: selector.name.clone(),
         service: selector.service.clone(),
         epoch: service.epoch,
         deadline: selector.deadline,
-        aim: None,
+        target_latency: None,
         shape: view::Shape::Hits,
-        servers_most: None,
+        max_servers: None,
         settle: selector.settle,
         least_coverage: selector.least_coverage,
         enough_hits: selector.enough_hits,
--- a/crates/core/src/plan/mod.rs
+++ b/crates/core/src/plan/mod.rs
@@ -1,8 +1,8 @@
-//! What published documents say, once parsed, and how they become a view.
+//! Parsed documents, their validation, and their compilation to a view.
 //!
-//! Acceptance is a pure function of the documents, so every host judges alike: [`check`] looks at
-//! the parts together and lists every fault, and [`compile`] turns accepted parts into a
-//! [`view::View`]. Parsing the YAML stands in the settings package.
+//! Acceptance is a pure function of the documents, so every host reaches the same decision: [`check`]
+//! validates the parts together and lists every fault, and [`compile`] turns accepted parts into a
+//! [`view::View`]. The settings package parses the YAML.
 
 use std::fmt;
 
@@ -21,114 +21,114 @@
 pub use check::check;
 pub use compile::{Fleet, compile};
 pub use relay::Relay;
-pub use routing::{Backing, Destination, Leaf, Route, Routing};
+pub use routing::{Destination, Leaf, Route, Routing, Upstream};
 
-/// A place in a document, from 1.
+/// A position in a document, counted from 1; 0:0 if unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
-    /// Line.
+pub struct Position {
+    /// Line number.
     pub line: u64,
-    /// Column.
+    /// Column number.
     pub column: u64,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}", self.line, self.column)
     }
 }
 
-/// A fault of a document.
+/// An error in a document, reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// The document's key or file name.
     pub document: CompactString,
-    /// Where.
-    pub place: Place,
-    /// What is wrong.
+    /// Position of the fault in the document.
+    pub position: Position,
+    /// Description of the fault.
     pub problem: String,
-    /// What would be right.
+    /// Suggested correction.
     pub remedy: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}; {}", self.document, self.place, self.problem, self.remedy)
+        write!(f, "{}:{}: {}; {}", self.document, self.position, self.problem, self.remedy)
     }
 }
 
-/// The region of each data centre.
+/// Regions by data centre.
 pub type Regions = IndexMap<CompactString, CompactString>;
 
-/// Labels of a server.
+/// Labels of a server, or those that a selector requires, by key.
 pub type Labels = IndexMap<CompactString, CompactString>;
 
-/// A service: how its data is cut into shards, and the servers that hold them.
+/// A service: its shards and the servers that hold them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Unique name.
     pub name: CompactString,
-    /// Partition epoch; raised when the data is cut anew.
+    /// Partition epoch; incremented when the data is resharded.
     pub epoch: u64,
-    /// Every shard of this cut.
+    /// All shards of this epoch.
     pub shards: Vec<CompactString>,
-    /// Its servers (leaves).
+    /// Its backend servers.
     pub servers: Vec<Server>,
-    /// What each of them bears while it warms up, if there is a bound.
+    /// The limits of a server that warms up; `None` if there are none.
     pub warm_up: Option<WarmUp>,
-    /// Where it stands.
-    pub place: Place,
+    /// Its position in the document.
+    pub position: Position,
 }
 
-/// What a server of a service bears while it warms up.
+/// The limits of a service's servers while they warm up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// How long it takes to be warm.
-    pub span: clock::Millis,
-    /// Requests a second that it bears meanwhile, from all hosts together; above 0.
+    /// Duration of the warm-up.
+    pub duration: clock::Millis,
+    /// Limit on requests per second to one server, from all hosts together; above 0.
     pub rate: f64,
 }
 
-/// A backend server as operators describe it.
+/// A backend server as configured by operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// Unique name, as in the list of hosts.
+    /// Unique name, the same as in the host list.
     pub name: CompactString,
     /// Shards of which it holds a replica.
     pub shards: Vec<CompactString>,
-    /// Labels that selectors match.
+    /// Labels for selectors to match.
     pub labels: Labels,
-    /// Connections that it accepts in all.
+    /// Its limit on connections from all hosts together.
     pub connections: u32,
-    /// Queries that it runs at once.
+    /// Queries that it runs concurrently.
     pub slots: u32,
-    /// Where it stands.
-    pub place: Place,
+    /// Its position in the document.
+    pub position: Position,
 }
 
-/// How many of the matching shards a request goes to.
+/// The number of matching shards that a request is sent to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reach {
     /// Every shard.
     #[default]
     All,
-    /// One server among all that match, such as for a letter.
+    /// One of all matching servers, such as for a letter.
     One,
 }
 
-/// A selector as operators write it.
+/// A selector as configured by operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Selector {
-    /// Unique name, by which callers ask.
+    /// Unique name; requests refer to it.
     pub name: CompactString,
-    /// The service.
+    /// Name of the service that it selects from.
     pub service: CompactString,
-    /// Labels that a server must have.
+    /// Labels that a server must have to match.
     pub labels: Labels,
-    /// All shards or one server.
+    /// Whether requests go to all shards or to one server.
     pub reach: Reach,
-    /// Longest time to an answer.
+    /// Maximum time to an answer.
     pub deadline: clock::Millis,
     /// See [`view::Class::settle`].
     pub settle: Option<clock::Millis>,
@@ -144,22 +144,22 @@
     pub priority: u8,
     /// See [`view::Class::homes`].
     pub homes: Vec<CompactString>,
-    /// Where it stands.
-    pub place: Place,
+    /// Its position in the document.
+    pub position: Position,
 }
 
-/// Whether a host takes new work.
+/// The lifecycle state of a listed host or server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It does.
+    /// Accepts new work.
     #[default]
     Live,
-    /// It finishes what it has and goes.
+    /// Accepts no new work, and exits once its running work is done.
     Leaving,
 }
 
-/// An entry host of the system, as the platform lists it.
+/// An entry host, as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryHost {
@@ -167,18 +167,18 @@
     pub name: CompactString,
     /// Its data centre.
     pub data_centre: CompactString,
-    /// `IP:PORT` for other hosts.
+    /// `IP:PORT` at which other hosts connect to it.
     pub peer: CompactString,
     /// Live or leaving.
     #[serde(default)]
     pub state: State,
 }
 
-/// A backend server, as the platform lists it.
+/// A backend server, as listed by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// Unique name, as in the operators' documents.
+    /// Unique name, the same as in the operators' documents.
     pub name: CompactString,
     /// Its data centre.
     pub data_centre: CompactString,
@@ -187,10 +187,10 @@
     /// Live or leaving.
     #[serde(default)]
     pub state: State,
-    /// Raised each time it starts anew.
+    /// Incremented on each restart.
     #[serde(default)]
     pub incarnation: u64,
-    /// Whether it warms up.
+    /// Whether it reports that it warms up.
     #[serde(default)]
     pub warming: bool,
 }
@@ -198,37 +198,37 @@
 /// One parsed part of a catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// Of the configuration.
+    /// Services; part of the configuration.
     Services {
-        /// Most entry hosts that may ever run at once, leaving ones included.
+        /// Maximum number of entry hosts that run at the same time, including leaving ones.
         entry_hosts_most: u32,
-        /// The services.
+        /// Services with their shards and servers.
         services: Vec<Service>,
     },
-    /// Of the configuration.
+    /// Selectors; part of the configuration.
     Selectors(Vec<Selector>),
-    /// Of the list of hosts.
+    /// Hosts and servers; part of the host list.
     Hosts {
-        /// Entry hosts.
+        /// Entry hosts, live and leaving.
         entry_hosts: Vec<EntryHost>,
-        /// Backend servers.
+        /// Backend servers, live and leaving.
         backend_servers: Vec<BackendServer>,
     },
-    /// Of the configuration: routes by host and path.
+    /// Routes by host and path; part of the configuration.
     Routing(Routing),
-    /// Of the list of hosts: one server that registered itself.
+    /// One server that registered itself; part of the host list.
     Leaf(Leaf),
-    /// Data centres that operators have evacuated: their servers get no new work until this part is gone. With a
-    /// registry it stands among the list of hosts, so that no host has the servers without the evacuations,
-    /// and so that a configuration with faults does not keep it from hosts.
+    /// Data centres that operators have evacuated: their servers get no new work until this part is removed. With a
+    /// registry it is part of the host list, so that no host has the servers without the evacuations, and so that
+    /// faults in the configuration do not block it.
     Evacuation(Vec<CompactString>),
-    /// Of the list of hosts: an entry that cannot be read. It is left out, and the rest counts: one
-    /// server's broken entry must not keep news of all others from this host.
+    /// An entry of the host list that cannot be parsed. It is skipped, so that one server's invalid entry does
+    /// not block updates of all others.
     Unreadable(Fault),
 }
 
 impl Part {
-    /// The number that operators gave the configuration; `None` for other parts.
+    /// The operators' number of the configuration; `None` for parts other than routes.
     pub fn number(&self) -> Option<u64> {
         match self {
             Self::Routing(routing) => Some(routing.number),
@@ -241,7 +241,7 @@
     selector.labels.iter().all(|(key, value)| server.labels.get(key) == Some(value))
 }
 
-/// The shards that a selector reaches, each with the servers that match.
+/// The shards that a selector covers, each with the matching servers.
 fn targets<'s>(selector: &Selector, service: &'s Service) -> Vec<(CompactString, Vec<&'s Server>)> {
     let matching = service.servers.iter().filter(|server| matches(selector, server));
     if selector.reach == Reach::One {
@@ -263,23 +263,23 @@
     shards.into_iter().map(|(shard, servers)| (shard.clone(), servers)).collect()
 }
 
-/// Why a server is not reached by a selector, for `shallotctl explain`.
+/// Whether a selector covers a server, or why not, for `shallotctl explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It is reached.
+    /// The selector covers it.
     Reached,
-    /// A label differs; `LABEL=WANTED`.
+    /// A label differs; contains the required `KEY=VALUE`.
     Label(CompactString),
     /// It is marked as leaving.
     Leaving,
     /// Its data centre is evacuated.
     Evacuated,
-    /// The list of hosts does not have it.
+    /// It is not in the host list.
     NotListed,
 }
 
-/// Whether `selector` reaches `server` in `view`, and why not.
+/// Whether `selector` covers `server` in `view`, or why not.
 pub fn explain(selector: &Selector, server: &Server, registry: &mut view::Registry, view: &view::View) -> Reason {
     for (key, value) in &selector.labels {
         if server.labels.get(key) != Some(value) {
--- a/crates/core/src/plan/owner.rs
+++ b/crates/core/src/plan/owner.rs
@@ -1,14 +1,14 @@
-//! Which hosts gather for a set of shards, and how its servers' connections are cut among hosts.
+//! The choice of the hosts that gather for a set of shards, and their shares of its servers' connections.
 //!
-//! A gather sends one request to each of many servers. Done by every host, it needs connections from
-//! each host to each server, sends most bytes across data centres, and takes as long as the weakest
-//! host needs for that many messages. So only some hosts gather: those with enough processor, in the
-//! data centres where the servers are. The others pass a request on whole, as one message.
+//! A gather sends one request to each of many servers. If every host gathered, each would need
+//! connections to each server, most bytes would cross data centres, and the latency would be that of
+//! the weakest host with that many messages. So only some hosts, the *owners*, gather: those with enough
+//! processing capacity, in the data centres of the servers. The others relay a request as one message.
 //!
-//! The choice is a pure function of what all hosts know, so they agree without talking about it; when
-//! they know different hosts for a while, a host gathers for itself or is asked although it is not an
-//! owner, and both still work. A part of each server's connections is kept for *seconds*, hosts that
-//! gather when no owner can be reached.
+//! The choice is a pure function of the membership list, so hosts agree without communication. While
+//! their lists differ, a host may gather for itself or receive relayed requests without being an owner,
+//! and both work. A fraction of each server's connections is reserved for *standbys*, hosts that gather
+//! when no owner is reachable.
 
 use std::cmp;
 
@@ -17,79 +17,79 @@
 
 use crate::rendezvous;
 
-/// Part of a server's connections that owners get where other hosts need some too.
-const OWNERS_PART: f64 = 0.75;
-/// Least connections of an owner to each server: one in use, one for a second request at the same time.
-const OWNER_CONNECTIONS: f64 = 2.0;
-/// Part of the strongest host's processor that an owner has at least. The slowest part of a gather
-/// decides when it is done, so a host much weaker than the rest would make all its gathers late.
-const STRONG: f64 = 0.5;
-/// Fewest owners; with less, one failure leaves nobody.
-const OWNERS_LEAST: usize = 2;
+/// Fraction of a server's connections for owners; the rest is reserved for standbys, if there are any.
+const OWNERS_FRACTION: f64 = 0.75;
+/// Minimum connections of an owner to each server: one in use and one for a concurrent second request.
+const MIN_OWNER_CONNECTIONS: f64 = 2.0;
+/// Minimum processing capacity of an owner, as a fraction of the strongest host's. The slowest part of a
+/// gather determines its latency, so a much weaker host would make all its gathers late.
+const MIN_POWER_FRACTION: f64 = 0.5;
+/// Minimum number of owners; with fewer, one failure leaves none.
+const MIN_OWNERS: usize = 2;
 
 /// A host that may gather.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// Unique name.
     pub name: CompactString,
-    /// Its data centre.
+    /// The data centre that it runs in.
     pub data_centre: CompactString,
-    /// Its processor, in thousandths of a core.
+    /// Its processing capacity, in thousandths of a core.
     pub power: u32,
 }
 
-/// Who gathers for a set of shards, by place in the list of candidates.
+/// The hosts that gather for a set of shards, by index in the list of candidates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tiers {
     /// Hosts that gather.
     pub owners: Vec<usize>,
-    /// Hosts that gather when no owner can be reached.
-    pub seconds: Vec<usize>,
+    /// Hosts that gather when no owner is reachable.
+    pub standbys: Vec<usize>,
 }
 
 impl Tiers {
-    /// The tiers of the set called `set`, whose servers are in `homes` and accept `connections` each.
-    pub fn new(set: &str, homes: &IndexSet<CompactString>, candidates: &[Candidate], connections: u32) -> Self {
-        let is_home = |place: usize| homes.contains(&candidates[place].data_centre);
+    /// Chooses the tiers for a set of shards whose servers are in the data centres `homes` and accept `connections` each.
+    pub fn new(set_key: &str, homes: &IndexSet<CompactString>, candidates: &[Candidate], connections: u32) -> Self {
+        let is_home = |index: usize| homes.contains(&candidates[index].data_centre);
         let mut order: Vec<usize> = (0..candidates.len()).collect();
-        order.sort_by_cached_key(|&place| {
-            let candidate = &candidates[place];
-            let weight = rendezvous::weight(set, &candidate.name);
-            (!is_home(place), cmp::Reverse(candidate.power), cmp::Reverse(weight), candidate.name.clone())
+        order.sort_by_cached_key(|&index| {
+            let candidate = &candidates[index];
+            let weight = rendezvous::weight(set_key, &candidate.name);
+            (!is_home(index), cmp::Reverse(candidate.power), cmp::Reverse(weight), candidate.name.clone())
         });
-        let mut owners = strong(&order, candidates, is_home);
-        if owners.len() < OWNERS_LEAST {
-            owners = strong(&order, candidates, |_| true);
+        let mut owners = with_enough_power(&order, candidates, is_home);
+        if owners.len() < MIN_OWNERS {
+            owners = with_enough_power(&order, candidates, |_| true);
         }
-        let most = (f64::from(connections) * OWNERS_PART / OWNER_CONNECTIONS) as usize;
-        owners.truncate(most.max(1));
-        let mut seconds: Vec<usize> = order.into_iter().filter(|place| !owners.contains(place)).collect();
-        seconds.truncate((f64::from(connections) * (1.0 - OWNERS_PART)) as usize);
-        Self { owners, seconds }
+        let max_owners = (f64::from(connections) * OWNERS_FRACTION / MIN_OWNER_CONNECTIONS) as usize;
+        owners.truncate(max_owners.max(1));
+        let mut standbys: Vec<usize> = order.into_iter().filter(|index| !owners.contains(index)).collect();
+        standbys.truncate((f64::from(connections) * (1.0 - OWNERS_FRACTION)) as usize);
+        Self { owners, standbys }
     }
 
-    /// The part, as a share, that the candidate at `place` has of a bound that all hosts keep together.
-    pub fn part(&self, place: usize) -> f64 {
-        if self.owners.contains(&place) {
-            let part = if self.seconds.is_empty() { 1.0 } else { OWNERS_PART };
-            return part / self.owners.len() as f64;
+    /// The share, from 0 to 1, of fleet-wide limits for the candidate at `index`.
+    pub fn limit_share(&self, index: usize) -> f64 {
+        if self.owners.contains(&index) {
+            let total = if self.standbys.is_empty() { 1.0 } else { OWNERS_FRACTION };
+            return total / self.owners.len() as f64;
         }
-        if self.seconds.contains(&place) {
-            return (1.0 - OWNERS_PART) / self.seconds.len() as f64;
+        if self.standbys.contains(&index) {
+            return (1.0 - OWNERS_FRACTION) / self.standbys.len() as f64;
         }
         0.0
     }
 
-    /// How many of a server's `connections` the candidate at `place` may hold.
-    pub fn share(&self, place: usize, connections: u32) -> u32 {
-        (f64::from(connections) * self.part(place)) as u32
+    /// The number of a server's `connections` for the candidate at `index`.
+    pub fn connection_share(&self, index: usize, connections: u32) -> u32 {
+        (f64::from(connections) * self.limit_share(index)) as u32
     }
 }
 
-/// The candidates that have enough processor, of those that `may` own, in `order`.
-fn strong(order: &[usize], candidates: &[Candidate], may: impl Fn(usize) -> bool) -> Vec<usize> {
-    let of_all = order.iter().copied().filter(|&place| may(place));
-    let most = of_all.clone().map(|place| candidates[place].power).max().unwrap_or_default();
-    let least = f64::from(most) * STRONG;
-    of_all.filter(|&place| f64::from(candidates[place].power) >= least).collect()
+/// The candidates that are `eligible` and have enough processing capacity, in `order`.
+fn with_enough_power(order: &[usize], candidates: &[Candidate], eligible: impl Fn(usize) -> bool) -> Vec<usize> {
+    let all = order.iter().copied().filter(|&index| eligible(index));
+    let greatest = all.clone().map(|index| candidates[index].power).max().unwrap_or_default();
+    let threshold = f64::from(greatest) * MIN_POWER_FRACTION;
+    all.filter(|&index| f64::from(candidates[index].power) >= threshold).collect()
 }
--- a/crates/core/src/plan/relay.rs
+++ b/crates/core/src/plan/relay.rs
@@ -1,4 +1,4 @@
-//! Hosts that gather for each other.
+//! Relaying of gathers: the assignment of gathers to hosts, and the relay targets of the others.
 
 use compact_str::{CompactString, format_compact};
 use indexmap::{IndexMap, IndexSet};
@@ -8,109 +8,109 @@
 
 use super::{Fleet, Leaf, Regions, owner, routing};
 
-/// Fewest shards for which a request is passed on: with less, the way to another host costs more than
-/// it saves.
-const SHARDS_LEAST: usize = 4;
-/// Part of the busiest data centre's servers that another one has at least in which hosts gather too.
-const HOME_PART: f64 = 0.5;
-/// Requests that this host may have in flight at another one. Each is answered in well under a second.
-const IN_FLIGHT: u32 = 64;
+/// Minimum number of shards for which a request is relayed: below it, the hop to another host costs more
+/// than it saves.
+const MIN_SHARDS: usize = 4;
+/// Minimum number of leaves in a data centre whose hosts gather, as a fraction of that in the largest one.
+const MIN_CENTRE_FRACTION: f64 = 0.5;
+/// Limit on requests in flight from this host to another one. Each is answered in well under a second.
+const MAX_IN_FLIGHT: u32 = 64;
 
-/// An entry host that takes requests of others.
+/// An entry host as a candidate to gather requests for others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
-    /// Its name.
+    /// Unique name.
     pub name: CompactString,
-    /// Its data centre.
+    /// The data centre that it runs in.
     pub data_centre: CompactString,
-    /// `IP:PORT` at which it takes requests; empty if it takes none.
+    /// `IP:PORT` at which it accepts relayed requests; empty if it accepts none.
     pub address: CompactString,
-    /// Its processor, in thousandths of a core.
+    /// Its processing capacity, in thousandths of a core.
     pub power: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub is_open: bool,
 }
 
-/// A gather, as far as it matters who does it.
+/// The properties of a gather that determine which hosts perform it.
 pub(super) struct Gather<'g> {
-    /// Names the set of shards.
-    pub(super) set: &'g str,
+    /// Key of the set of shards.
+    pub(super) set_key: &'g str,
     /// The shards' services.
     pub(super) services: &'g [CompactString],
-    /// Regions in which it may be done; none if that may be anywhere.
+    /// Regions in which it may be performed; empty for any region.
     pub(super) homes: &'g [CompactString],
-    /// Connections that each leaf accepts.
+    /// Limit on connections of each leaf.
     pub(super) connections: u32,
 }
 
-/// How the shards of one gather are shared among hosts, as this one sees it.
-pub(super) struct Sharing {
+/// The assignment of one gather to hosts, as computed by this host.
+pub(super) struct Assignment {
     tiers: owner::Tiers,
-    /// Each candidate's place among this host and the relays, in which this host is [`THIS`]. Hosts of regions in
-    /// which the gather may not be done are no candidates.
-    places: Vec<usize>,
+    /// The index of each candidate in the list of this host, at [`LOCAL`], and the relays. Hosts of regions in which
+    /// the gather may not be performed are not candidates.
+    host_indexes: Vec<usize>,
     connections: u32,
 }
 
-/// This host's place in the list of all hosts.
-const THIS: usize = 0;
+/// This host's index in the list of all hosts.
+const LOCAL: usize = 0;
 
-impl Sharing {
-    /// The sharing of `gather` over `leafs`, by service, among `this` host and `relays`.
+impl Assignment {
+    /// Assigns `gather` to hosts among `local` and `relays`, given the `leaves` by service.
     pub(super) fn new(
         gather: &Gather<'_>,
-        leafs: &IndexMap<CompactString, Vec<&Leaf>>,
-        this: &Relay,
+        leaves: &IndexMap<CompactString, Vec<&Leaf>>,
+        local: &Relay,
         relays: &[Relay],
         regions: Option<&Regions>,
     ) -> Self {
         let is_home = |data_centre: &str| view::is_home(gather.homes, routing::region(regions, data_centre));
-        let (mut candidates, mut places) = (Vec::new(), Vec::new());
-        for (place, host) in [this].into_iter().chain(relays).enumerate() {
+        let (mut candidates, mut host_indexes) = (Vec::new(), Vec::new());
+        for (index, host) in [local].into_iter().chain(relays).enumerate() {
             if is_home(&host.data_centre) {
                 candidates.push(candidate(host));
-                places.push(place);
+                host_indexes.push(index);
             }
         }
         if candidates.is_empty() {
-            return Self::alone(1 + relays.len(), gather.connections);
+            return Self::without_candidates(1 + relays.len(), gather.connections);
         }
-        let centres = centres(gather.services, leafs, is_home);
-        let tiers = owner::Tiers::new(gather.set, &centres, &candidates, gather.connections);
-        Self { tiers, places, connections: gather.connections }
+        let centres = centres(gather.services, leaves, is_home);
+        let tiers = owner::Tiers::new(gather.set_key, &centres, &candidates, gather.connections);
+        Self { tiers, host_indexes, connections: gather.connections }
     }
 
-    /// No host is where the gather may be done for others, so each of `hosts` does it for its own callers. Servers
-    /// that accept fewer connections than there are hosts turn some away.
-    fn alone(hosts: usize, connections: u32) -> Self {
-        let places: Vec<usize> = (0..hosts).collect();
-        let tiers = owner::Tiers { owners: places.clone(), seconds: Vec::new() };
-        Self { tiers, places, connections: connections.max(hosts as u32) }
+    /// No host is in a permitted region, so each of `count` hosts gathers for its own callers. Servers with a limit
+    /// below the number of hosts refuse some connections.
+    fn without_candidates(count: usize, connections: u32) -> Self {
+        let host_indexes: Vec<usize> = (0..count).collect();
+        let tiers = owner::Tiers { owners: host_indexes.clone(), standbys: Vec::new() };
+        Self { tiers, host_indexes, connections: connections.max(count as u32) }
     }
 
-    /// This host's place among the candidates, if it is one.
-    fn this(&self) -> Option<usize> {
-        self.places.first().filter(|&&place| place == THIS).map(|_| 0)
+    /// This host's index among the candidates, if it is one.
+    fn local(&self) -> Option<usize> {
+        self.host_indexes.first().filter(|&&host| host == LOCAL).map(|_| 0)
     }
 
-    /// This host's share of the connections of each leaf.
-    pub(super) fn share(&self) -> u32 {
-        self.this().map_or(0, |place| self.tiers.share(place, self.connections))
+    /// The number of connections to each leaf that this host may use.
+    pub(super) fn connection_share(&self) -> u32 {
+        self.local().map_or(0, |index| self.tiers.connection_share(index, self.connections))
     }
 
-    /// This host's part of the bounds that all hosts keep together, as a share.
-    pub(super) fn part(&self) -> f64 {
-        self.this().map_or(0.0, |place| self.tiers.part(place))
+    /// This host's share of fleet-wide limits, from 0 to 1.
+    pub(super) fn limit_share(&self) -> f64 {
+        self.local().map_or(0.0, |index| self.tiers.limit_share(index))
     }
 
     /// The names of the hosts that gather.
     pub(super) fn owners<'f>(&self, fleet: &Fleet<'f>) -> Vec<&'f CompactString> {
-        let hosts: Vec<&Relay> = fleet.this.into_iter().chain(fleet.relays).collect();
-        let owners = self.tiers.owners.iter().filter_map(|&place| self.places.get(place));
-        owners.filter_map(|&place| hosts.get(place)).map(|host| &host.name).collect()
+        let hosts: Vec<&Relay> = fleet.local.into_iter().chain(fleet.relays).collect();
+        let owners = self.tiers.owners.iter().filter_map(|&index| self.host_indexes.get(index));
+        owners.filter_map(|&index| hosts.get(index)).map(|host| &host.name).collect()
     }
 
-    /// The hosts that gather for this one; `None` if it gathers itself.
+    /// The hosts to which this one relays the gather; `None` if it gathers itself.
     pub(super) fn target(
         &self,
         shards: usize,
@@ -118,23 +118,23 @@
         view: &mut view::View,
         registry: &mut view::Registry,
     ) -> Option<view::Target> {
-        let is_owner = self.this().is_some_and(|place| self.tiers.owners.contains(&place));
-        if is_owner || shards < SHARDS_LEAST {
+        let is_owner = self.local().is_some_and(|index| self.tiers.owners.contains(&index));
+        if is_owner || shards < MIN_SHARDS {
             return None;
         }
-        let this = fleet.this?;
+        let local = fleet.local?;
         let mut replicas = Vec::new();
-        let owners = self.tiers.owners.iter().map(|&place| (place, false));
-        let seconds = self.tiers.seconds.iter().map(|&place| (place, true));
-        for (place, is_second) in owners.chain(seconds) {
-            let place = self.places.get(place).and_then(|place| place.checked_sub(1));
-            let Some(relay) = place.and_then(|place| fleet.relays.get(place)) else {
+        let owners = self.tiers.owners.iter().map(|&index| (index, false));
+        let standbys = self.tiers.standbys.iter().map(|&index| (index, true));
+        for (index, is_standby) in owners.chain(standbys) {
+            let index = self.host_indexes.get(index).and_then(|host| host.checked_sub(1));
+            let Some(relay) = index.and_then(|index| fleet.relays.get(index)) else {
                 continue;
             };
             if !relay.is_open {
                 continue;
             }
-            let distance = match (is_second, relay.data_centre == this.data_centre) {
+            let distance = match (is_standby, relay.data_centre == local.data_centre) {
                 (true, _) => view::Distance::Last,
                 (false, true) => view::Distance::Near,
                 (false, false) => view::Distance::Far,
@@ -154,21 +154,21 @@
     owner::Candidate { name: relay.name.clone(), data_centre: relay.data_centre.clone(), power: relay.power }
 }
 
-/// Data centres that hold many of the leafs, of those that are `allowed`.
+/// The `allowed` data centres with many of the leaves; see [`MIN_CENTRE_FRACTION`].
 fn centres(
     services: &[CompactString],
-    leafs: &IndexMap<CompactString, Vec<&Leaf>>,
+    leaves: &IndexMap<CompactString, Vec<&Leaf>>,
     allowed: impl Fn(&str) -> bool,
 ) -> IndexSet<CompactString> {
     let mut counts: IndexMap<&CompactString, usize> = IndexMap::new();
-    for leaf in services.iter().filter_map(|service| leafs.get(service)).flatten() {
+    for leaf in services.iter().filter_map(|service| leaves.get(service)).flatten() {
         if allowed(&leaf.data_centre) {
             *counts.entry(&leaf.data_centre).or_default() += 1;
         }
     }
-    let most = counts.values().copied().max().unwrap_or_default();
-    let is_home = |count: usize| count as f64 >= HOME_PART * most as f64;
-    counts.into_iter().filter(|(_, count)| is_home(*count)).map(|(centre, _)| centre.clone()).collect()
+    let largest = counts.values().copied().max().unwrap_or_default();
+    let is_large = |count: usize| count as f64 >= MIN_CENTRE_FRACTION * largest as f64;
+    counts.into_iter().filter(|(_, count)| is_large(*count)).map(|(centre, _)| centre.clone()).collect()
 }
 
 fn add_peer(
@@ -183,13 +183,13 @@
         name: relay.name.clone(),
         address: relay.address.clone(),
         incarnation: 0,
-        connections: IN_FLIGHT,
-        slots: IN_FLIGHT,
+        connections: MAX_IN_FLIGHT,
+        slots: MAX_IN_FLIGHT,
         leaving: false,
         evacuated: false,
         region: CompactString::from(region),
         distance,
-        own_share: Some(IN_FLIGHT),
+        own_share: Some(MAX_IN_FLIGHT),
         is_peer: true,
         warm_up: None,
     };
--- a/crates/core/src/ratio.rs
+++ b/crates/core/src/ratio.rs
@@ -1,16 +1,16 @@
-//! A share of a whole, between zero and one.
+//! A fraction between zero and one.
 
 use std::{fmt, str};
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A fraction from 0 to 1.
+/// A fraction from 0 to 1, inclusive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Ratio(f64);
 
-/// A number outside 0 to 1, or a text that is no number.
+/// An error from converting a number outside 0 to 1, or from parsing a text that is not a number.
 #[derive(Debug, Snafu)]
 #[snafu(display("`{text}` is not a share: write a number from 0 to 1, such as 0.95"))]
 pub struct ParseError {
@@ -18,17 +18,17 @@
 }
 
 impl Ratio {
-    /// The whole.
+    /// The fraction 1.
     pub const ONE: Self = Self(1.0);
-    /// Nothing.
+    /// The fraction 0.
     pub const ZERO: Self = Self(0.0);
 
-    /// The fraction as a float.
+    /// The fraction as a floating-point number.
     pub fn get(self) -> f64 {
         self.0
     }
 
-    /// Whether `part` of `whole` is at least this share.
+    /// Whether `part` of `whole` is at least this fraction, with a tolerance of 1e-9 for rounding errors.
     pub fn is_met(self, part: usize, whole: usize) -> bool {
         part as f64 >= self.0 * whole as f64 - 1e-9
     }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The text is not a revision.
+/// An error from parsing a [`Revision`].
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is not a revision: NUMBER or ERA.NUMBER, such as 52 or 2.52"))]
 pub struct ParseError {
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,8 +1,8 @@
-//! Routes: which class a request goes to that names a host and a path.
+//! The mapping of a request's host and path to a class, and the split of requests over weighted branches.
 //!
-//! Of the routes of a host, the one with the longest prefix of the path is taken. Prefixes begin and
-//! end with a slash, so it is enough to look up the path's own prefixes, longest first; the cost is
-//! that of the path's depth, however many routes there are.
+//! Among a host's routes, the one with the longest matching prefix of the path is selected. Prefixes begin
+//! and end with a slash, so it suffices to look up the path's own prefixes, longest first; the cost
+//! depends on the path's depth and not on the number of routes.
 
 use compact_str::CompactString;
 use indexmap::IndexMap;
@@ -13,20 +13,20 @@
 /// Routes by host and prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// The class's name, by prefix, by host in lower case.
+    /// Names of classes by host, in lower case, and prefix.
     hosts: IndexMap<CompactString, IndexMap<CompactString, CompactString>>,
 }
 
 impl Table {
-    /// Adds a route; one with the same host and prefix is replaced.
+    /// Adds a route, replacing any with the same host and prefix.
     pub fn insert(&mut self, host: &str, prefix: &str, class: &str) {
         let host = CompactString::from(host.to_ascii_lowercase());
         let prefixes = self.hosts.entry(host).or_default();
         prefixes.insert(CompactString::from(prefix), CompactString::from(class));
     }
 
-    /// The class of the route that `host` and `path` select. A port after the host is ignored, and
-    /// so is the query after the path.
+    /// The class of the route for `host` and `path`. A port in `host` and a query string in `path` are
+    /// ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&CompactString> {
         let name = match host.rsplit_once(':') {
             Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
@@ -47,29 +47,29 @@
     }
 }
 
-/// Bounds on what a caller may send, and for how long it may be silent.
+/// Limits on the size of requests and on the idle time of callers' connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time from the first byte of a head to its last, in ms.
+    /// Timeout for reading a complete request head, from its first byte, in ms.
     pub header_wait: clock::Millis,
-    /// Longest time that a connection may stay without a request, in ms.
+    /// Timeout for idle connections, in ms.
     pub idle: clock::Millis,
 }
 
-/// Turns among which a new split's first one is drawn. A branch with a weight of one in a thousand still
-/// has one of them, and going through them costs some microseconds once for each change of weights.
-const ROUND: f64 = 1000.0;
+/// Number of turns by which a new split may be offset. A branch with a weight of one in a thousand still
+/// has one of them, and the offset costs some microseconds once for each change of weights.
+const MAX_OFFSET: f64 = 1000.0;
 
-/// Distributes requests over weighted branches, so that over any run of requests each of two branches
-/// is within one request of its part, and each of more within two. Random choice would need hundreds of
-/// requests to come as near, and a host with one request a second never sees that many between two
-/// changes.
+/// Distributes requests over weighted branches by smooth weighted round robin: on each turn every branch
+/// gains its weight in credit, and the branch with the most credit is chosen and pays the sum of all weights.
 ///
-/// Smooth weighted round robin: each branch gains its weight, and the one with most loses the sum.
+/// Over any run of requests, each of two branches is within one request of its share, and each of more
+/// within two. Random choice would need hundreds of requests for the same accuracy, more than a host with
+/// one request per second receives between two changes of weights.
 #[derive(Clone, Debug, Default)]
 pub struct Split {
     credits: Vec<f64>,
@@ -77,20 +77,20 @@
 }
 
 impl Split {
-    /// The branch for the next request; `start` (0 to 1) is where in its round a new split begins, so that
-    /// many hosts at low rates do not all begin with the same branch.
-    pub fn next(&mut self, weights: impl Iterator<Item = f64> + Clone, start: f64) -> usize {
+    /// The branch for the next request. After a change of weights, the split starts at `offset` (0 to 1) in its
+    /// sequence, so that many hosts at low rates do not all start with the same branch.
+    pub fn next(&mut self, weights: impl Iterator<Item = f64> + Clone, offset: f64) -> usize {
         if !self.weights.iter().copied().eq(weights.clone()) {
             self.weights = weights.collect();
             self.credits = vec![0.0; self.weights.len()];
-            for _ in 0..(start * ROUND) as u32 {
-                self.turn();
+            for _ in 0..(offset * MAX_OFFSET) as u32 {
+                self.advance();
             }
         }
-        self.turn()
+        self.advance()
     }
 
-    fn turn(&mut self) -> usize {
+    fn advance(&mut self) -> usize {
         let total: f64 = self.weights.iter().sum();
         let mut best = 0;
         for (branch, weight) in self.weights.iter().enumerate() {
--- a/crates/core/src/suspect.rs
+++ b/crates/core/src/suspect.rs
@@ -1,19 +1,19 @@
-//! Requests that crash servers, as all hosts know them.
+//! The replicated table of requests that crash servers.
 //!
-//! A request that kills whatever server runs it comes again: its caller repeats it, at any host, and each time one
-//! or two more servers die. So hosts remember which requests were lost with a server that died, under a
-//! [`Fingerprint`] of what was asked, and tell each other. A request that was lost with a server and that no server
-//! answered since is *suspected*: hosts send it only as a trial, of which there is one at a time in the whole fleet.
-//! The host that grants trials follows from the fingerprint ([`grantor`]). A trial is counted when it begins, not when
-//! its server proves to be dead: attempts that run at once would all begin before the first proof. One that was lost
-//! with several servers is *held*: what runs of it already is ended. One whose trials crash servers is *convicted*: the
+//! A request that crashes any server that runs it is retried by its caller, through any host, and each retry crashes
+//! one or two more servers. Hosts therefore record which requests were in flight at a server that crashed, by
+//! [`Fingerprint`], and replicate the records. A request that was lost in a crash and has not been answered since is
+//! *suspected*: hosts send it only as a trial, with one trial at a time in the whole fleet. The host that grants trials
+//! is determined by the fingerprint ([`grantor`]). A trial is counted when it begins, not when its server is found
+//! dead, because concurrent attempts would all begin before the first crash is detected. A request that was lost with
+//! several servers is *held*: its running attempts are cancelled. One whose trials crash servers is *convicted*: its
 //! next trial is hours away.
 //!
-//! Innocent requests run on a server that another request kills, or that loses its machine. Their next attempt is a
-//! trial, and the server that answers it takes back what was known against them until then. The table grows by union
-//! and by maximum alone, so it does not matter in which order and how often hosts tell each other.
+//! Harmless requests are suspected too, if they ran on a server that another request crashed or whose machine failed.
+//! Their next attempt is a trial, and an answer to it clears the evidence recorded until then. The table merges by
+//! union and maximum only, so the order and number of merges do not matter.
 
-mod row;
+mod entry;
 
 use std::{cmp, fmt, str};
 
@@ -24,11 +24,11 @@
 
 use crate::{clock, rendezvous};
 
-use row::Row;
+use entry::Entry;
 
-/// Rows at most. A row takes about 500 bytes, so a flood of different suspects takes 500 KB.
-const ROWS_MOST: usize = 1024;
-/// What was asked, as a 128-bit hash of method, host, path, query and body.
+/// Limit on entries. An entry takes about 500 bytes, so a flood of different suspects takes 500 KB.
+const MAX_ENTRIES: usize = 1024;
+/// Identifies equal requests: a 128-bit hash of method, host, path, query and body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "CompactString", into = "CompactString")]
 pub struct Fingerprint(pub u128);
@@ -61,82 +61,83 @@
     }
 }
 
-/// A request was lost with a server that then proved to be dead.
+/// The loss of a request with a server that was then found dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// What was asked.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// Tells the caller's attempts apart, over all hosts.
+    /// Identifies the caller's attempt, unique over all hosts.
     pub attempt: u64,
-    /// The server, and its incarnation if it says one.
+    /// The server, with its incarnation if it reports one.
     pub server: CompactString,
 }
 
-/// One attempt of a caller that may be sent although its request is suspected.
+/// A caller's attempt that may be sent although its request is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
-    /// What is asked.
+    /// Identifies the request.
     pub fingerprint: Fingerprint,
-    /// Tells the caller's attempts apart, over all hosts.
+    /// Identifies the caller's attempt, unique over all hosts.
     pub attempt: u64,
 }
 
-/// A row, as hosts tell each other.
+/// A table entry in the form that hosts exchange, with times relative to the moment of sending.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Told {
-    /// What was asked; `None` from nodes that write it otherwise.
+pub struct Record {
+    /// Identifies the request; `None` if the sender uses another format.
     pub fingerprint: Option<Fingerprint>,
-    /// Servers that it was lost with.
+    /// Servers that crashed while they ran the request.
     pub servers: Vec<CompactString>,
-    /// The callers' attempts in which it was.
+    /// Callers' attempts that were lost with a server.
     pub attempts: Vec<u64>,
-    /// Attempts that were trials.
+    /// Attempts that were sent as trials.
     pub tried: Vec<u64>,
-    /// Servers and attempts that no longer count, since the request was answered.
+    /// Servers that no longer count as evidence, because the request has been answered since.
     pub cleared_servers: Vec<CompactString>,
-    /// See `cleared_servers`.
+    /// Attempts that no longer count as evidence; see `cleared_servers`.
     pub cleared_attempts: Vec<u64>,
     /// Time until the next trial.
     pub trial_in: clock::Millis,
-    /// What is left of its conviction, while its trials convict it.
+    /// Time until the conviction ends; zero if the request is not convicted.
     pub refused_for: clock::Millis,
-    /// How much longer the row is remembered.
-    pub left: clock::Millis,
+    /// Time until the entry expires.
+    #[serde(rename = "left")]
+    pub expires_in: clock::Millis,
 }
 
-impl Told {
-    /// What a host does with the request, if it knows no more than this, as of an instant at which `trial_in`
-    /// and `left` begin.
+impl Record {
+    /// The request's standing according to this record alone, with times relative to the instant at which the record
+    /// was made.
     pub fn standing(&self) -> Option<Standing> {
-        let mut row = Row::default();
-        row.merge(clock::Millis::ZERO, self);
-        row.standing()
+        let mut entry = Entry::default();
+        entry.merge(clock::Millis::ZERO, self);
+        entry.standing()
     }
 }
 
-/// What a host does with a request.
+/// How hosts restrict the attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It may have crashed a server: it is sent as a trial alone. What runs already goes on, and to no second server.
+    /// May have crashed a server: sent only as a trial. Running attempts continue, but are sent to no second server.
     Suspect {
-        /// When a trial may be granted.
-        until: clock::Millis,
+        /// Earliest instant at which a trial may be granted.
+        trial_at: clock::Millis,
     },
-    /// It was lost with several servers: what runs already is ended.
+    /// Was lost with several servers: running attempts are cancelled.
     Held {
-        /// When a trial may be granted.
-        until: clock::Millis,
+        /// Earliest instant at which a trial may be granted.
+        trial_at: clock::Millis,
     },
-    /// It crashes servers: the same, with trials far apart.
+    /// Trials crashed servers: like `Held`, but the next trial is hours or days away.
     Convicted {
-        /// When a trial may be granted.
-        until: clock::Millis,
+        /// Earliest instant at which a trial may be granted.
+        trial_at: clock::Millis,
     },
 }
 
 impl Standing {
-    /// The name in logs.
+    /// The name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Suspect { .. } => "suspect",
@@ -145,191 +146,191 @@
         }
     }
 
-    /// When a trial may be granted.
-    pub fn until(self) -> clock::Millis {
+    /// The earliest instant at which a trial may be granted.
+    pub fn trial_at(self) -> clock::Millis {
         match self {
-            Self::Suspect { until } | Self::Held { until } | Self::Convicted { until } => until,
+            Self::Suspect { trial_at } | Self::Held { trial_at } | Self::Convicted { trial_at } => trial_at,
         }
     }
 
-    /// Whether what runs already is ended.
-    pub fn ends_running(self) -> bool {
+    /// Whether running attempts are cancelled.
+    pub fn cancels_running(self) -> bool {
         !matches!(self, Self::Suspect { .. })
     }
 }
 
-/// Which of `hosts` grants trials of a request: the same by all that know the same others.
+/// The member of `hosts` that grants trials of a request. Hosts with the same membership list choose the same one.
 pub fn grantor(fingerprint: Fingerprint, hosts: &[CompactString]) -> Option<&CompactString> {
     let key = compact_str::format_compact!("{fingerprint}");
-    hosts.iter().max_by_key(|other| (rendezvous::weight(&key, other), cmp::Reverse(*other)))
+    hosts.iter().max_by_key(|host| (rendezvous::weight(&key, host), cmp::Reverse(*host)))
 }
 
-/// See the module.
+/// Suspected requests by fingerprint; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    rows: IndexMap<Fingerprint, Row>,
+    entries: IndexMap<Fingerprint, Entry>,
 }
 
 impl Table {
-    /// Whether nothing is remembered.
+    /// Whether the table has no entries.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Rows that are remembered.
+    /// The number of entries, suspected or cleared.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.entries.len()
     }
 
-    /// Takes a crash; `true` if that is news.
-    pub fn crash(&mut self, now: clock::Millis, crash: &Crash) -> bool {
-        let row = self.rows.entry(crash.fingerprint).or_default();
-        let before = row.extent();
-        row.add(crash);
-        if row.extent() == before {
+    /// Records a crash; `true` if that changes the table.
+    pub fn record_crash(&mut self, now: clock::Millis, crash: &Crash) -> bool {
+        let entry = self.entries.entry(crash.fingerprint).or_default();
+        let before = entry.evidence_sizes();
+        entry.add(crash);
+        if entry.evidence_sizes() == before {
             return false;
         }
-        row.judge(now);
-        row.told_at = clock::Millis::ZERO;
-        self.bound();
+        entry.apply_evidence(now);
+        entry.sent_at = clock::Millis::ZERO;
+        self.evict_excess();
         true
     }
 
-    /// A server answered the request; `true` if that is news. What nobody suspects is not remembered.
-    pub fn answer(&mut self, now: clock::Millis, fingerprint: Fingerprint) -> bool {
-        let Some(row) = self.rows.get_mut(&fingerprint).filter(|row| row.is_suspect()) else {
+    /// Clears a request that a server answered; `true` if it was suspected. Other answers are not recorded.
+    pub fn record_answer(&mut self, now: clock::Millis, fingerprint: Fingerprint) -> bool {
+        let Some(entry) = self.entries.get_mut(&fingerprint).filter(|entry| entry.is_suspect()) else {
             return false;
         };
-        row.clear(now);
-        row.told_at = clock::Millis::ZERO;
+        entry.clear(now);
+        entry.sent_at = clock::Millis::ZERO;
         true
     }
 
-    /// Counts a trial of a request that is suspected, if one may begin now.
-    pub fn grant(&mut self, now: clock::Millis, trial: Trial) -> bool {
-        let may_begin = |row: &&mut Row| row.is_suspect() && row.next_trial() <= now;
-        let Some(row) = self.rows.get_mut(&trial.fingerprint).filter(may_begin) else {
+    /// Records a trial of a suspected request and returns `true`, if a trial may begin now.
+    pub fn grant_trial(&mut self, now: clock::Millis, trial: Trial) -> bool {
+        let may_begin = |entry: &&mut Entry| entry.is_suspect() && entry.next_trial() <= now;
+        let Some(entry) = self.entries.get_mut(&trial.fingerprint).filter(may_begin) else {
             return false;
         };
-        row.begin_trial(now, trial.attempt);
-        row.told_at = clock::Millis::ZERO;
+        entry.begin_trial(now, trial.attempt);
+        entry.sent_at = clock::Millis::ZERO;
         true
     }
 
-    /// A trial that was granted reached no server, so it is not counted; `true` if that is news.
-    pub fn take_back(&mut self, now: clock::Millis, trial: Trial) -> bool {
-        let was_tried = |row: &&mut Row| row.tried.contains(&trial.attempt);
-        let Some(row) = self.rows.get_mut(&trial.fingerprint).filter(was_tried) else {
+    /// Removes a granted trial that reached no server; `true` if it was recorded.
+    pub fn cancel_trial(&mut self, now: clock::Millis, trial: Trial) -> bool {
+        let was_granted = |entry: &&mut Entry| entry.trials.contains(&trial.attempt);
+        let Some(entry) = self.entries.get_mut(&trial.fingerprint).filter(was_granted) else {
             return false;
         };
-        row.take_back_trial(now, trial.attempt);
-        row.told_at = clock::Millis::ZERO;
+        entry.cancel_trial(now, trial.attempt);
+        entry.sent_at = clock::Millis::ZERO;
         true
     }
 
-    /// Takes what another host tells; `true` if that is news.
-    pub fn merge(&mut self, now: clock::Millis, told: &Told) -> bool {
-        let Some(fingerprint) = told.fingerprint else {
+    /// Merges a record from another host; `true` if that changes the table.
+    pub fn merge(&mut self, now: clock::Millis, record: &Record) -> bool {
+        let Some(fingerprint) = record.fingerprint else {
             return false;
         };
-        let row = self.rows.entry(fingerprint).or_default();
-        let before = row.extent();
-        row.merge(now, told);
-        let is_new = before != row.extent();
+        let entry = self.entries.entry(fingerprint).or_default();
+        let before = entry.evidence_sizes();
+        entry.merge(now, record);
+        let is_new = before != entry.evidence_sizes();
         if is_new {
-            row.told_at = clock::Millis::ZERO;
+            entry.sent_at = clock::Millis::ZERO;
         }
-        self.bound();
+        self.evict_excess();
         is_new
     }
 
-    /// Forgets what is over; `true` if something was.
+    /// Removes expired entries; `true` if there were any.
     pub fn expire(&mut self, now: clock::Millis) -> bool {
-        let before = self.rows.len();
-        self.rows.retain(|_, row| row.until > now);
-        before != self.rows.len()
+        let before = self.entries.len();
+        self.entries.retain(|_, entry| entry.expires_at > now);
+        before != self.entries.len()
     }
 
-    /// Operators let a request go.
+    /// Removes a request on an operator's order; `true` if it had an entry.
     pub fn release(&mut self, fingerprint: Fingerprint) -> bool {
-        self.rows.swap_remove(&fingerprint).is_some()
+        self.entries.swap_remove(&fingerprint).is_some()
     }
 
-    /// The oldest suspects go first, and requests that are held last.
-    fn bound(&mut self) {
-        while self.rows.len() > ROWS_MOST {
-            let oldest = self.rows.values().enumerate().min_by_key(|(_, row)| (row.is_held(), row.until));
-            let Some(place) = oldest.map(|(place, _)| place) else {
+    /// Evicts entries above [`MAX_ENTRIES`]: those that expire first, and held requests last.
+    fn evict_excess(&mut self) {
+        while self.entries.len() > MAX_ENTRIES {
+            let oldest = self.entries.values().enumerate().min_by_key(|(_, entry)| (entry.is_held(), entry.expires_at));
+            let Some(index) = oldest.map(|(index, _)| index) else {
                 return;
             };
-            self.rows.swap_remove_index(place);
+            self.entries.swap_remove_index(index);
         }
     }
 
-    /// What hosts do with a request.
+    /// The standing of a request; `None` if it is not suspected.
     pub fn standing(&self, fingerprint: Fingerprint) -> Option<Standing> {
-        self.rows.get(&fingerprint)?.standing()
+        self.entries.get(&fingerprint)?.standing()
     }
 
-    /// All that hosts do with requests that are remembered.
+    /// The standings of all suspected requests.
     pub fn standings(&self) -> IndexMap<Fingerprint, Standing> {
-        let standing = |(fingerprint, row): (&Fingerprint, &Row)| Some((*fingerprint, row.standing()?));
-        self.rows.iter().filter_map(standing).collect()
+        let standing = |(fingerprint, entry): (&Fingerprint, &Entry)| Some((*fingerprint, entry.standing()?));
+        self.entries.iter().filter_map(standing).collect()
     }
 
-    /// How many servers a request was lost with and in how many of its callers' attempts, as far as they are named.
-    pub fn evidence(&self, fingerprint: Fingerprint) -> (usize, usize) {
-        let count = |row: &Row| (row.servers.counted.len(), row.attempts.counted.len());
-        self.rows.get(&fingerprint).map_or((0, 0), count)
+    /// The numbers of servers and of callers' attempts that are recorded as lost with a request.
+    pub fn evidence_counts(&self, fingerprint: Fingerprint) -> (usize, usize) {
+        let count = |entry: &Entry| (entry.servers.counted.len(), entry.attempts.counted.len());
+        self.entries.get(&fingerprint).map_or((0, 0), count)
     }
 
-    /// Differs between tables that do not remember the same; 0 for an empty one.
+    /// A digest over the entries without their times, to compare tables between hosts; 0 for an empty table.
     pub fn digest(&self) -> u32 {
-        let of = |(fingerprint, row): (&Fingerprint, &Row)| {
-            let (servers, attempts, tried, cleared_servers, cleared_attempts) = row.extent();
+        let entry_hash = |(fingerprint, entry): (&Fingerprint, &Entry)| {
+            let (servers, attempts, trials, cleared_servers, cleared_attempts) = entry.evidence_sizes();
             let mut bytes = fingerprint.0.to_le_bytes().to_vec();
-            let counts = [servers, attempts, tried, cleared_servers, cleared_attempts];
+            let counts = [servers, attempts, trials, cleared_servers, cleared_attempts];
             bytes.extend(counts.map(|count| count as u8));
             xxh3::xxh3_64(&bytes) as u32
         };
-        self.rows.iter().map(of).fold(0, |digest, row| digest ^ row)
+        self.entries.iter().map(entry_hash).fold(0, |digest, hash| digest ^ hash)
     }
 
-    /// When a row is forgotten next.
-    pub fn next(&self) -> Option<clock::Millis> {
-        self.rows.values().map(|row| row.until).min()
+    /// The earliest expiry of an entry; `None` if the table is empty.
+    pub fn next_expiry(&self) -> Option<clock::Millis> {
+        self.entries.values().map(|entry| entry.expires_at).min()
     }
 
-    /// Whether some row was not told since it changed, and whether the request is held.
-    pub fn news(&self) -> Option<bool> {
-        let news = self.rows.values().filter(|row| row.told_at == clock::Millis::ZERO);
-        news.map(Row::is_held).max()
+    /// Whether an entry that has not been sent since it changed is held; `None` if every change has been sent.
+    pub fn has_held_update(&self) -> Option<bool> {
+        let updates = self.entries.values().filter(|entry| entry.sent_at == clock::Millis::ZERO);
+        updates.map(Entry::is_held).max()
     }
 
-    /// At most `most` rows for another host: news first, then what was told longest ago.
-    pub fn tell(&mut self, now: clock::Millis, most: usize) -> Vec<Told> {
-        let mut rows: Vec<_> = self.rows.iter_mut().collect();
-        rows.sort_by_key(|(fingerprint, row)| (row.told_at, cmp::Reverse(row.is_held()), **fingerprint));
-        let mut told = Vec::with_capacity(rows.len().min(most));
-        for (fingerprint, row) in rows.into_iter().take(most) {
-            row.told_at = now;
-            told.push(row.told(now, *fingerprint));
+    /// Up to `limit` records to send to other hosts: unsent changes first, then those sent longest ago.
+    pub fn take_records(&mut self, now: clock::Millis, limit: usize) -> Vec<Record> {
+        let mut entries: Vec<_> = self.entries.iter_mut().collect();
+        entries.sort_by_key(|(fingerprint, entry)| (entry.sent_at, cmp::Reverse(entry.is_held()), **fingerprint));
+        let mut records = Vec::with_capacity(entries.len().min(limit));
+        for (fingerprint, entry) in entries.into_iter().take(limit) {
+            entry.sent_at = now;
+            records.push(entry.to_record(now, *fingerprint));
         }
-        told
+        records
     }
 
-    /// What is known of one request.
-    pub fn row(&self, now: clock::Millis, fingerprint: Fingerprint) -> Told {
-        match self.rows.get(&fingerprint) {
-            Some(row) => row.told(now, fingerprint),
-            None => Told { fingerprint: Some(fingerprint), ..Told::default() },
+    /// The record of one request; without evidence if the table has no entry for it.
+    pub fn record(&self, now: clock::Millis, fingerprint: Fingerprint) -> Record {
+        match self.entries.get(&fingerprint) {
+            Some(entry) => entry.to_record(now, fingerprint),
+            None => Record { fingerprint: Some(fingerprint), ..Record::default() },
         }
     }
 
-    /// All rows, those that are remembered longest first.
-    pub fn rows(&self, now: clock::Millis) -> Vec<Told> {
-        let mut rows: Vec<_> = self.rows.iter().collect();
-        rows.sort_by_key(|(fingerprint, row)| (cmp::Reverse(row.until), **fingerprint));
-        rows.into_iter().map(|(fingerprint, row)| row.told(now, *fingerprint)).collect()
+    /// All records, those that expire last first.
+    pub fn records(&self, now: clock::Millis) -> Vec<Record> {
+        let mut entries: Vec<_> = self.entries.iter().collect();
+        entries.sort_by_key(|(fingerprint, entry)| (cmp::Reverse(entry.expires_at), **fingerprint));
+        entries.into_iter().map(|(fingerprint, entry)| entry.to_record(now, *fingerprint)).collect()
     }
 }
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -1,19 +1,19 @@
 //! A dense table of entities with generational keys.
 //!
-//! Rows are reused, but each reuse raises the row's generation, so a key that outlived its entity
-//! never finds the successor. This is what makes a late or reordered reply harmless: its attempt's
-//! key misses, and the reply is dropped and counted.
+//! Slots are reused, but each removal increments the slot's generation, so a stale key never matches a
+//! later entity. A late or reordered reply is therefore harmless: the look-up of its attempt fails, and
+//! the reply is dropped and counted.
 
 use std::fmt;
 
 use crate::mutant;
 
-/// A row and the generation of the entity that holds it.
+/// A slot, and the generation of the entity that occupies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
-    /// The row.
+    /// Index of the slot.
     pub index: u32,
-    /// How many entities held the row before.
+    /// Number of entities that occupied the slot before, modulo 2^32.
     pub generation: u32,
 }
 
@@ -24,31 +24,31 @@
 }
 
 #[derive(Debug)]
-struct Row<T> {
+struct Slot<T> {
     generation: u32,
     entity: Option<T>,
 }
 
-/// A table of entities of one kind.
+/// A table of entities of one type.
 #[derive(Debug)]
 pub struct Table<T> {
-    rows: Vec<Row<T>>,
+    slots: Vec<Slot<T>>,
     free: Vec<u32>,
 }
 
 impl<T> Default for Table<T> {
     fn default() -> Self {
-        Self { rows: Vec::new(), free: Vec::new() }
+        Self { slots: Vec::new(), free: Vec::new() }
     }
 }
 
 impl<T> Table<T> {
-    /// The number of entities.
+    /// The number of live entities.
     pub fn len(&self) -> usize {
-        self.rows.len() - self.free.len()
+        self.slots.len() - self.free.len()
     }
 
-    /// Whether there is no entity.
+    /// Whether there are no live entities.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -56,50 +56,50 @@
     /// Adds an entity and returns its key.
     pub fn insert(&mut self, entity: T) -> Key {
         if let Some(index) = self.free.pop() {
-            let row = &mut self.rows[index as usize];
-            row.entity = Some(entity);
-            return Key { index, generation: row.generation };
+            let slot = &mut self.slots[index as usize];
+            slot.entity = Some(entity);
+            return Key { index, generation: slot.generation };
         }
-        let index = self.rows.len() as u32;
-        self.rows.push(Row { generation: 0, entity: Some(entity) });
+        let index = self.slots.len() as u32;
+        self.slots.push(Slot { generation: 0, entity: Some(entity) });
         Key { index, generation: 0 }
     }
 
-    /// The entity of `key`, if it still lives.
+    /// The entity of `key`, if it is still live.
     pub fn get(&self, key: Key) -> Option<&T> {
-        let row = self.rows.get(key.index as usize)?;
-        if row.generation != key.generation {
+        let slot = self.slots.get(key.index as usize)?;
+        if slot.generation != key.generation {
             return None;
         }
-        row.entity.as_ref()
+        slot.entity.as_ref()
     }
 
-    /// The entity of `key`, if it still lives.
+    /// Mutable access to the entity of `key`, if it is still live.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        let row = self.rows.get_mut(key.index as usize)?;
-        if row.generation != key.generation {
+        let slot = self.slots.get_mut(key.index as usize)?;
+        if slot.generation != key.generation {
             return None;
         }
-        row.entity.as_mut()
+        slot.entity.as_mut()
     }
 
-    /// Ends the entity of `key` and returns it, if it still lives.
+    /// Removes the entity of `key` and returns it, if it is still live.
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let row = self.rows.get_mut(key.index as usize)?;
-        if row.generation != key.generation && !mutant::is(mutant::Mutant::AcceptLate) {
+        let slot = self.slots.get_mut(key.index as usize)?;
+        if slot.generation != key.generation && !mutant::is(mutant::Mutant::AcceptLate) {
             return None;
         }
-        let entity = row.entity.take()?;
-        row.generation = row.generation.wrapping_add(1);
+        let entity = slot.entity.take()?;
+        slot.generation = slot.generation.wrapping_add(1);
         self.free.push(key.index);
         Some(entity)
     }
 
-    /// All entities with their keys, by row.
+    /// All entities with their keys, in order of the slots.
     pub fn iter(&self) -> impl Iterator<Item = (Key, &T)> {
-        self.rows.iter().enumerate().filter_map(|(index, row)| {
-            let key = Key { index: index as u32, generation: row.generation };
-            row.entity.as_ref().map(|entity| (key, entity))
+        self.slots.iter().enumerate().filter_map(|(index, slot)| {
+            let key = Key { index: index as u32, generation: slot.generation };
+            slot.entity.as_ref().map(|entity| (key, entity))
         })
     }
 }
--- a/crates/core/src/traffic/admit.rs
+++ b/crates/core/src/traffic/admit.rs
@@ -73,7 +73,7 @@
         }
         let settle_at = match request.relayed {
             Some(relayed) => relayed.settle.map(|settle| self.now + settle),
-            None => class.aim.map(|aim| self.now + self.time_to_aim(row, aim, request.patience)),
+            None => class.target_latency.map(|aim| self.now + self.time_to_aim(row, aim, request.patience)),
         };
         if let Some(settle_at) = settle_at.filter(|_| !is_passed_on)
             && let Some((retry_after, why)) = self.lacks_room(row, class, branch, settle_at.since(self.now))
--- a/crates/core/src/traffic/choose.rs
+++ b/crates/core/src/traffic/choose.rs
@@ -28,7 +28,7 @@
         if !class.idempotent && row.key.is_some() {
             return self.choose_by_key(query, part);
         }
-        let may_try_more = class.servers_most.is_none_or(|most| state.servers() < usize::from(most));
+        let may_try_more = class.max_servers.is_none_or(|most| state.servers() < usize::from(most));
         let mut best: Option<(u8, view::Distance, u32, id::Server)> = None;
         let mut second: Option<(u8, view::Distance, u32, id::Server)> = None;
         for &id in replicas {
@@ -125,7 +125,7 @@
         let Some(class) = self.view.classes.get(class).filter(|class| !class.homes.is_empty()) else {
             return true;
         };
-        self.view.server(id).is_some_and(|server| class.may_go_to(&server.region))
+        self.view.server(id).is_some_and(|server| class.allows_region(&server.region))
     }
 
     /// While versions roll, starts a query with the snapshot that most shards can give.
--- a/crates/core/src/traffic/dispatch.rs
+++ b/crates/core/src/traffic/dispatch.rs
@@ -137,7 +137,7 @@
             self.breach(invariant::Name::BoundedConnections, detail);
         }
         let row = &self.classes[class];
-        if row.hedges.holds() && row.retries.holds() && self.fleet.holds(self.now, service) {
+        if row.hedges.is_within_bound() && row.retries.is_within_bound() && self.fleet.holds(self.now, service) {
             return;
         }
         let detail = format!("{}: {} hedges, {} retries", row.name, row.hedges.spent(), row.retries.spent());
@@ -231,7 +231,7 @@
             return;
         }
         let replicas = &row.target(part).replicas;
-        let may_try_more = selector.servers_most.is_none_or(|most| state.servers() < usize::from(most));
+        let may_try_more = selector.max_servers.is_none_or(|most| state.servers() < usize::from(most));
         let has_fresh = may_try_more && replicas.iter().any(|&id| !state.was_tried(id) && self.is_open(id));
         let is_spent = state.tries >= self.policy.attempts_per_shard;
         // A host that did nothing is no loss, and this one can gather itself.
@@ -292,7 +292,7 @@
         let class = &mut self.classes[row.class];
         let bucket = if kind == query::Kind::Hedge { &mut class.hedges } else { &mut class.retries };
         if mutant::is(mutant::Mutant::UnboundedExtra) && kind != query::Kind::Hedge {
-            bucket.force();
+            bucket.force_spend();
             return true;
         }
         if self.fleet.has_token(self.now, service) && bucket.spend() {
--- a/crates/core/src/traffic/finish.rs
+++ b/crates/core/src/traffic/finish.rs
@@ -154,7 +154,7 @@
         let took = self.now.since(started);
         let selector = row.selector();
         let usual = selector.settle.unwrap_or(selector.deadline);
-        let target = selector.aim.unwrap_or_else(|| usual.scale(self.policy.latency_target.get()));
+        let target = selector.target_latency.unwrap_or_else(|| usual.scale(self.policy.latency_target.get()));
         let is_good = outcome == event::Outcome::Answered && took <= target;
         let class = &mut self.classes[row.class];
         class.running = class.running.saturating_sub(1);
@@ -163,7 +163,7 @@
 
     /// How long after its aim an answer that leaves now is.
     fn late(&self, row: &query::Query) -> Option<clock::Millis> {
-        row.selector().aim?;
+        row.selector().target_latency?;
         let aim = row.settle_at? + self.policy.aim_margin;
         (self.now > aim).then(|| self.now.since(aim))
     }
--- a/crates/core/src/traffic/fleet.rs
+++ b/crates/core/src/traffic/fleet.rs
@@ -100,7 +100,7 @@
 
     /// Whether the bound holds for `service`.
     pub(crate) fn holds(&mut self, now: clock::Millis, service: id::Service) -> bool {
-        self.row(now, service).is_none_or(|row| row.holds())
+        self.row(now, service).is_none_or(|row| row.is_within_bound())
     }
 }
 
--- a/crates/core/src/traffic/hedge.rs
+++ b/crates/core/src/traffic/hedge.rs
@@ -27,7 +27,7 @@
         if query.is_passed_on {
             return self.relay_delay(class);
         }
-        let aim = query.selector().aim;
+        let aim = query.selector().target_latency;
         let usual = self.classes[class].attempts.quantile(self.policy.hedge_quantile);
         let latest = aim.map_or(clock::Millis::MAX, |aim| clock::Millis(aim.0 / 2));
         usual.unwrap_or(DELAY_PRIOR).min(latest).max(self.policy.hedge_floor)
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -256,7 +256,7 @@
         self.clear_replaced(&view);
         self.view = view;
         let usual = 1.0 / f64::from(self.view.hosts.max(1));
-        self.fleet.set_parts(self.now, usual, &self.view.parts, self.lane.count.max(1));
+        self.fleet.set_parts(self.now, usual, &self.view.limit_shares, self.lane.count.max(1));
         self.servers.resize_with(self.view.servers.len().max(self.servers.len()), Default::default);
         let mut reborn = Vec::new();
         for index in 0..self.servers.len() {
--- a/crates/core/src/traffic/suspect.rs
+++ b/crates/core/src/traffic/suspect.rs
@@ -145,7 +145,7 @@
             return Hold::Granted;
         }
         let running = self.trials.get(&fingerprint).is_some_and(|query| self.queries.get(query.0).is_some());
-        if standing.until() <= self.now && !running {
+        if standing.trial_at() <= self.now && !running {
             return Hold::Open;
         }
         Hold::Closed { fingerprint, left: self.come_back(standing) }
@@ -153,8 +153,8 @@
 
     /// When to come back for a request that is not sent now.
     fn come_back(&self, standing: suspect::Standing) -> clock::Millis {
-        let least = if standing.ends_running() { AFTER_TRIAL } else { SUSPECT_AFTER };
-        standing.until().since(self.now).max(least)
+        let least = if standing.cancels_running() { AFTER_TRIAL } else { SUSPECT_AFTER };
+        standing.trial_at().since(self.now).max(least)
     }
 
     /// What hosts do with a request, unless it was answered here a moment ago.
@@ -368,7 +368,7 @@
         let running: Vec<id::Query> =
             self.queries.iter().filter(|(_, row)| self.is_suspect(row)).map(|(key, _)| id::Query(key)).collect();
         for query in running {
-            if self.bars(query).is_some_and(suspect::Standing::ends_running) {
+            if self.bars(query).is_some_and(suspect::Standing::cancels_running) {
                 self.finish_held(query);
             }
         }
--- a/crates/core/src/traffic/warm_up.rs
+++ b/crates/core/src/traffic/warm_up.rs
@@ -71,14 +71,14 @@
         };
         let was_cold = self.is_cold(now);
         if published.is_warming && !self.says {
-            self.until = now + WORD_MOST.max(published.span);
+            self.until = now + WORD_MOST.max(published.duration);
         }
         if !published.is_warming && self.says {
             self.until = now;
         }
         self.says = published.is_warming;
         if is_back {
-            self.until = self.until.max(now + published.span);
+            self.until = self.until.max(now + published.duration);
         }
         if !was_cold && self.is_cold(now) {
             self.next_at = now;
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,7 +1,7 @@
-//! What one accepted configuration means: who can be asked for what.
+//! The compiled form of an accepted configuration: request classes, routes and servers.
 //!
-//! A [`View`] is immutable and shared by pointer. It is built from published documents by the
-//! settings package. Servers carry process-wide indexes from a [`Registry`], so state kept about a
+//! A [`View`] is immutable and shared by pointer. It is compiled from published documents, which the
+//! settings package parses. Servers have process-wide indexes from a [`Registry`], so state kept per
 //! server (latency, connections) outlives the view.
 
 use std::{fmt, str};
@@ -13,17 +13,17 @@
 
 use crate::{clock, id, ratio, revision, route, traffic::warm_up};
 
-/// The identity of a configuration: versions rise, and the digest decides between two documents
-/// that operators raced to publish under one version, alike on every host.
+/// The identity of a configuration. Versions increase; if two documents are concurrently published under
+/// one version, the digest orders them the same way on every host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stamp {
     /// The number that operators gave the document; 0 if it has none. Compared first, because a registry that was
-    /// restored from a backup holds an older document under a later version.
+    /// restored from a backup can hold an older document under a later version.
     #[serde(default)]
     pub number: u64,
     /// The manifest's version.
     pub version: u64,
-    /// The manifest's digest.
+    /// The manifest's digest, which breaks ties between equal versions.
     pub digest: u64,
 }
 
@@ -36,22 +36,22 @@
     }
 }
 
-/// A text that is not a stamp.
+/// An error from parsing a [`Stamp`].
 #[derive(Debug, Snafu)]
 pub enum ParseStampError {
     /// There is no dash between version and digest.
     #[snafu(display("a stamp is VERSION-DIGEST or NUMBER@VERSION-DIGEST, such as 7-00000000000000ff"))]
     Shape,
-    /// One of the two numbers cannot be read.
+    /// The number or the digest is not a valid integer.
     #[snafu(display("a stamp is VERSION-DIGEST or NUMBER@VERSION-DIGEST, such as 7-00000000000000ff"))]
     Number {
-        /// What was wrong with it.
+        /// The integer error.
         source: std::num::ParseIntError,
     },
-    /// The version cannot be read.
+    /// The version is not a valid revision.
     #[snafu(display("a stamp is VERSION-DIGEST or NUMBER@VERSION-DIGEST, such as 7-00000000000000ff"))]
     Version {
-        /// What was wrong with it.
+        /// The revision error.
         source: revision::ParseError,
     },
 }
@@ -71,13 +71,13 @@
     }
 }
 
-/// The index snapshot from which a reply was computed. Two replies may share an answer only if
-/// both fields are equal.
+/// The index snapshot from which a reply was computed. Two replies may be merged into one answer only
+/// if both fields are equal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Partition epoch: how the data is cut into shards.
+    /// Partition epoch: incremented when the data is resharded.
     pub epoch: u64,
-    /// Index version.
+    /// Version of the index within the epoch.
     pub version: u64,
 }
 
@@ -87,208 +87,208 @@
     }
 }
 
-/// A backend server as this view knows it.
+/// A backend server as published in this view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Operator's name, unique in the fleet.
+    /// Its name, unique in the fleet.
     pub name: CompactString,
     /// `IP:PORT` of its HTTP interface.
     pub address: CompactString,
-    /// Raised each time the server starts anew.
+    /// Incremented on each restart of the server.
     pub incarnation: u64,
-    /// Connections that it accepts from all hosts together.
+    /// Its limit on connections from all hosts together.
     pub connections: u32,
-    /// Queries that it runs at once.
+    /// Queries that it runs concurrently.
     pub slots: u32,
-    /// Whether it was marked as leaving in this incarnation.
+    /// Whether it has been marked as leaving in this incarnation.
     pub leaving: bool,
-    /// Whether operators have evacuated its data centre. Unlike a leaving mark this ends: what counts is what
-    /// the documents in force say.
+    /// Whether operators have evacuated its data centre. Unlike a leaving mark, this follows the documents in force
+    /// and can be revoked.
     pub evacuated: bool,
-    /// The region of its data centre; empty if that is not known.
+    /// The region of its data centre; empty if unknown.
     pub region: CompactString,
-    /// How far it is from this host.
+    /// Its distance class from this host.
     pub distance: Distance,
-    /// This host's share of its connections, where it does not follow from the number of hosts.
+    /// This host's share of its connections; `None` for an equal share among all hosts.
     pub own_share: Option<u32>,
-    /// Another entry host, which gathers for this one.
+    /// Whether it is another entry host, to which this one relays requests.
     pub is_peer: bool,
-    /// What it bears while it warms up; `None` if its service gives no bound.
+    /// Its limits while it warms up; `None` if its service sets none.
     pub warm_up: Option<WarmUp>,
 }
 
-/// What a server bears while it warms up.
+/// The limits of a server that warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// Whether it says that it warms up.
+    /// Whether it currently reports that it warms up.
     pub is_warming: bool,
-    /// How long it takes to be warm.
-    pub span: clock::Millis,
-    /// Requests a second that it bears meanwhile, from all hosts together.
+    /// Duration of the warm-up.
+    pub duration: clock::Millis,
+    /// Limit on requests per second during the warm-up, from all hosts together.
     pub rate: f64,
-    /// Its service, which tells which hosts may send any; see [`View::senders`].
+    /// Its service, the key into [`View::senders`].
     pub service: id::Service,
 }
 
-/// How far a server is, for the choice among replicas.
+/// The distance of a server from this host, for the choice among replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Distance {
-    /// In this host's data centre, or the documents do not say.
+    /// In this host's data centre, or in an unknown one.
     #[default]
     Near,
-    /// In another one.
+    /// In another data centre.
     Far,
-    /// Only when no other one will do.
+    /// Chosen only if no other replica is available.
     Last,
 }
 
 impl Server {
-    /// Whether new work may go to it.
+    /// Whether it may receive new work.
     pub fn is_open(&self) -> bool {
         !self.leaving && !self.evacuated
     }
 
     /// This host's share of the server's connections, if `hosts` entry hosts are published. The
-    /// share follows the published list and never who is reachable, so the shares of both sides of
-    /// a partition still add up to no more than the limit.
+    /// share depends on the published list, not on which hosts are reachable, so that the shares on
+    /// both sides of a network partition never add up to more than the limit.
     pub fn share(&self, hosts: u32) -> u32 {
         self.own_share.unwrap_or(self.connections / hosts.max(1))
     }
 }
 
-/// A shard with the replicas that a selector may reach.
+/// A shard with the replicas that a class may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The shard's name.
     pub shard: CompactString,
-    /// The service whose retry budget its extra attempts draw on.
+    /// The service whose retry budget its hedges and retries spend.
     pub service: id::Service,
-    /// Its replicas that match the selector, leaving ones included.
+    /// Its matching replicas, including leaving ones.
     pub replicas: Vec<id::Server>,
 }
 
 /// One of the alternatives among which a class distributes its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Branch {
-    /// Its part of the requests, in proportion to the sum of all weights.
+    /// Its share of the requests, relative to the sum of all weights.
     pub weight: f64,
-    /// The shards to ask, all of them.
+    /// The shards, each of which receives the request.
     pub targets: Vec<Target>,
 }
 
-/// What an answer is made of.
+/// The composition of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
-    /// The shards' hits, each under its shard's name.
+    /// The hits of each shard, listed by shard.
     #[default]
     Hits,
-    /// The greatest records of all shards, merged.
+    /// The greatest records of all shards, merged; see [`crate::merge`].
     Records {
-        /// How many.
+        /// Maximum number of records.
         top: u32,
     },
-    /// One server's answer, handed on whole.
+    /// One server's answer, passed on unchanged.
     Whole,
 }
 
-/// A compiled selector: a kind of request and what it may tolerate.
+/// A compiled selector or route: the targets and limits of one kind of request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// The selector's name, by which callers ask for it.
+    /// The name of the selector or route; requests refer to it.
     pub name: CompactString,
-    /// The service that it reaches.
+    /// The service of its targets; the first one if there are several.
     pub service: CompactString,
-    /// The partition epoch in which the targets are valid.
+    /// The partition epoch for which the targets are valid; 0 for a route.
     pub epoch: u64,
-    /// Longest time to an answer.
+    /// Maximum time to an answer.
     pub deadline: clock::Millis,
-    /// Time within which an answer is worth most, counted from the caller's first attempt.
-    pub aim: Option<clock::Millis>,
-    /// What an answer is made of.
+    /// Time within which an answer should arrive, measured from the caller's first attempt.
+    pub target_latency: Option<clock::Millis>,
+    /// Composition of an answer.
     pub shape: Shape,
-    /// Most servers to which a request may be sent for one shard; `None` leaves it to the policy.
-    pub servers_most: Option<u8>,
-    /// When an answer with at least `least_coverage` may go out although shards are silent.
+    /// Maximum number of servers that a request is sent to for one shard; `None` for the policy's limit.
+    pub max_servers: Option<u8>,
+    /// Time after which an answer with at least `least_coverage` is sent without waiting for the missing shards.
     pub settle: Option<clock::Millis>,
-    /// Least share of shards for an answer.
+    /// Minimum share of shards in an answer.
     pub least_coverage: ratio::Ratio,
-    /// Number of hits that is enough for an answer before every shard has replied.
+    /// Number of hits at which an answer is sent before every shard has replied.
     pub enough_hits: Option<u32>,
-    /// Whether running it twice does no harm.
+    /// Whether a request may safely run more than once.
     pub idempotent: bool,
-    /// Whether a second replica may be asked while the first is silent.
+    /// Whether hedged attempts are allowed.
     pub hedge: bool,
-    /// 0 is served first, [`Class::PRIORITIES`] - 1 last.
+    /// From 0, the highest, to [`Class::PRIORITIES`] - 1, the lowest.
     pub priority: u8,
-    /// Regions in which its requests may be run and gathered; none if that may be anywhere.
+    /// Regions in which its requests may be run and gathered; empty for any region.
     pub homes: Vec<CompactString>,
-    /// The alternatives; a request goes to one of them and is never moved to another.
+    /// Weighted alternatives; a request stays with the branch that it was first assigned to.
     pub branches: Vec<Branch>,
-    /// Other hosts that gather requests of this class for this one, if it does not do so itself.
+    /// Hosts to which this one relays requests of this class; `None` if it gathers them itself.
     pub relay: Option<Target>,
 }
 
-/// Whether `region` is one of `homes`; any is if there are none.
+/// Whether `region` is one of `homes`; always true if `homes` is empty.
 pub fn is_home(homes: &[CompactString], region: &str) -> bool {
     homes.is_empty() || homes.iter().any(|home| home == region)
 }
 
 impl Class {
-    /// Whether its requests may go to a server in `region`. A region that is not known is no home.
-    pub fn may_go_to(&self, region: &str) -> bool {
+    /// Whether its requests may be sent to a server in `region`. An unknown region is never a home.
+    pub fn allows_region(&self, region: &str) -> bool {
         is_home(&self.homes, region)
     }
 
-    /// The number of priorities.
+    /// The number of priority levels.
     pub const PRIORITIES: usize = 4;
 }
 
-/// One accepted configuration.
+/// One accepted configuration, compiled together with one host list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
-    /// Which configuration this is.
+    /// Identity of the configuration.
     pub stamp: Stamp,
-    /// Which host list this is.
+    /// Identity of the host list.
     pub hosts_revision: Stamp,
-    /// Published entry hosts, leaving ones included.
+    /// Number of published entry hosts, including leaving ones.
     pub hosts: u32,
     /// Compiled selectors by name.
     pub classes: IndexMap<CompactString, Class>,
-    /// Where requests that name a host and a path go.
+    /// Routes by host and path.
     pub routes: route::Table,
-    /// Bounds on what a caller may send, if the configuration gives them.
+    /// Limits on callers, if the configuration sets them.
     pub limits: Option<route::Limits>,
-    /// The configuration's own number, for logs; 0 if it has none besides the stamp.
+    /// The operators' number of the configuration, for logs; 0 if it has none besides the stamp.
     pub number: u64,
-    /// This host's part of the bounds that all hosts keep together, by [`id::Service`], as a share;
-    /// services that are not here are shared by all hosts alike.
-    pub parts: IndexMap<id::Service, f64>,
-    /// Servers by [`id::Server`]; `None` where a registered server is not published any more.
+    /// This host's share of fleet-wide limits, from 0 to 1, by [`id::Service`]. Services that are not
+    /// listed are shared equally by all hosts.
+    pub limit_shares: IndexMap<id::Service, f64>,
+    /// Servers by [`id::Server`]; `None` for a registered server that is no longer published.
     pub servers: Vec<Option<Server>>,
-    /// Data centres whose servers get no new work until operators take that back.
+    /// Data centres whose servers get no new work until operators revoke the evacuation.
     pub evacuated: IndexSet<CompactString>,
-    /// This host's name; empty if the documents do not need it.
+    /// This host's name; empty if the documents suffice without it.
     pub host: CompactString,
-    /// Hosts that may send requests to servers that warm up, by service, alike on all hosts that know the same
-    /// others. A host that may not have heard of all others has none here.
+    /// Hosts that may send requests to servers that warm up, by service; equal on all hosts with the same membership
+    /// list. Empty on a host whose membership list may be incomplete.
     pub senders: IndexMap<id::Service, Vec<CompactString>>,
-    /// How far above the rate of [`WarmUp`] all hosts together may be in one second.
+    /// Permitted excess of all hosts together over the rate of [`WarmUp`] in one second.
     pub tolerance: Tolerance,
 }
 
-/// How far above a bound in requests a second all hosts together may be in any one second.
+/// Permitted excess of all hosts together over a limit in requests per second, in any one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Times the bound.
+    /// Factor on the limit.
     pub overage: f64,
-    /// Requests on top of that.
+    /// Requests added to the scaled limit.
     pub slack: f64,
 }
 
 impl Default for Tolerance {
-    /// Not at all.
+    /// Permits no excess.
     fn default() -> Self {
         Self { overage: 1.0, slack: 0.0 }
     }
@@ -300,20 +300,20 @@
         self.servers.get(id.index())?.as_ref()
     }
 
-    /// The pause after each request of this host to the server called `name` while it warms up; `None` if this host
-    /// may send it none.
+    /// The interval that this host leaves after each request to the server `name` while it warms up; `None` if this
+    /// host may send it none.
     pub fn warm_up_pause(&self, name: &str, bound: &WarmUp) -> Option<clock::Millis> {
         let senders = self.senders.get(&bound.service)?;
         warm_up::pause(name, bound.rate, self.tolerance, &self.host, senders)
     }
 
-    /// Whether new work may go to `id`.
+    /// Whether `id` is published and may receive new work.
     pub fn is_open(&self, id: id::Server) -> bool {
         self.server(id).is_some_and(Server::is_open)
     }
 }
 
-/// Process-wide indexes of servers, and the marks that must outlive a document.
+/// Process-wide indexes of servers and services, and leaving marks, which outlive a document.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     servers: IndexSet<CompactString>,
@@ -322,45 +322,45 @@
 }
 
 impl Registry {
-    /// The index of the server called `name`, the same for the life of the process.
+    /// The index of the server `name`, which is stable for the lifetime of the process.
     pub fn intern(&mut self, name: &str) -> id::Server {
         let (index, _) = self.servers.insert_full(CompactString::from(name));
         id::Server(index as u32)
     }
 
-    /// Whether a server called `name` was ever seen.
+    /// Whether the server `name` has ever been interned.
     pub fn contains(&self, name: &str) -> bool {
         self.servers.contains(name)
     }
 
-    /// The index of the service called `name`, the same for the life of the process.
+    /// The index of the service `name`, which is stable for the lifetime of the process.
     pub fn intern_service(&mut self, name: &str) -> id::Service {
         let (index, _) = self.services.insert_full(CompactString::from(name));
         id::Service(index as u32)
     }
 
-    /// The number of servers ever seen.
+    /// The number of servers ever interned.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether no server was seen yet.
+    /// Whether no server has been interned yet.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Remembers that this incarnation of `id` is leaving. A lagging host list may show it as live
-    /// again later; the mark stays until the server comes back under a new incarnation.
+    /// Marks this incarnation of `id` as leaving. A stale host list may list it as live again later;
+    /// the mark applies until the server restarts under a new incarnation.
     pub fn mark_leaving(&mut self, id: id::Server, incarnation: u64) {
         self.leaving.insert((id, incarnation));
     }
 
-    /// Forgets every mark; only a mutant does this.
-    pub(crate) fn forget_marks(&mut self) {
+    /// Removes every mark; used only by a mutant.
+    pub(crate) fn clear_marks(&mut self) {
         self.leaving.clear();
     }
 
-    /// Whether this incarnation of `id` was ever marked as leaving.
+    /// Whether this incarnation of `id` has been marked as leaving.
     pub fn is_leaving(&self, id: id::Server, incarnation: u64) -> bool {
         self.leaving.contains(&(id, incarnation))
     }
--- a/crates/core/tests/held.rs
+++ b/crates/core/tests/held.rs
@@ -118,7 +118,7 @@
 }
 
 fn held(until: u64) -> Option<Standing> {
-    Some(Standing::Held { until: clock::Millis(until) })
+    Some(Standing::Held { trial_at: clock::Millis(until) })
 }
 
 /// A search runs on all shards when its host learns that it crashes servers: the servers that still run it must not
@@ -135,8 +135,8 @@
 
 /// A search waits for room at busy servers when it becomes known to crash them. It must not reach them after that.
 #[rstest]
-#[case::suspect(Standing::Suspect { until: clock::Millis(5000) })]
-#[case::held(Standing::Held { until: clock::Millis(5000) })]
+#[case::suspect(Standing::Suspect { trial_at: clock::Millis(5000) })]
+#[case::held(Standing::Held { trial_at: clock::Millis(5000) })]
 fn what_waits_for_a_server_is_not_sent(#[case] standing: Standing) {
     let mut host = Host::new(view(1, 1));
     let first = sent(&host.step(event::Input::Request(one_leaf::request(1))));
@@ -169,7 +169,7 @@
     let mut host = Host::new(view(1, 8));
     host.warm_up();
     assert_eq!(sent(&host.ask(1)).len(), 1);
-    host.set(Some(Standing::Suspect { until: clock::Millis(5000) }));
+    host.set(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
     assert!(sent(&host.wait(200)).is_empty());
 }
 
@@ -178,7 +178,7 @@
 fn what_runs_already_goes_on_while_it_is_suspected() {
     let mut host = Host::new(view(6, 8));
     let attempts = sent(&host.ask(1));
-    let outputs = host.set(Some(Standing::Suspect { until: clock::Millis(5000) }));
+    let outputs = host.set(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
     assert_eq!(cancelled(&outputs), 0);
     for attempt in &attempts[..5] {
         assert!(answers(&host.reply(*attempt, answered())).is_empty());
@@ -189,8 +189,8 @@
 /// A request that is suspected or held reaches one server when a trial is granted, and none before. While it waits for
 /// that or runs, further attempts are refused.
 #[rstest]
-#[case::suspect(Standing::Suspect { until: clock::Millis(1) })]
-#[case::held(Standing::Held { until: clock::Millis(1) })]
+#[case::suspect(Standing::Suspect { trial_at: clock::Millis(1) })]
+#[case::held(Standing::Held { trial_at: clock::Millis(1) })]
 fn a_trial_reaches_one_server(#[case] standing: Standing) {
     let mut host = Host::new(view(3, 8));
     host.set(Some(standing));
@@ -319,7 +319,7 @@
 #[test]
 fn a_failure_speaks_for_nobody() {
     let mut host = Host::new(view(1, 8));
-    host.set(Some(Standing::Suspect { until: clock::Millis(1) }));
+    host.set(Some(Standing::Suspect { trial_at: clock::Millis(1) }));
     let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
     let attempts = sent(&host.step(event::Input::Granted(trial)));
     let outputs = host.reply(attempts[0], event::Reply::Failed);
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -34,18 +34,18 @@
     })
 }
 
-fn route(name: &str, homes: &[&str], to: plan::Destination) -> plan::Route {
+fn route(name: &str, homes: &[&str], destination: plan::Destination) -> plan::Route {
     plan::Route {
         name: name.into(),
         host: "example".into(),
         prefix: format_compact!("/{name}/"),
         idempotent: true,
         timeout: clock::Millis(600),
-        aim: None,
-        servers_most: 3,
+        target_latency: None,
+        max_servers: 3,
         priority: 0,
         homes: homes.iter().map(|home| CompactString::from(*home)).collect(),
-        to,
+        destination,
     }
 }
 
@@ -69,7 +69,7 @@
         }
         parts.push(leaf(service, "nowhere"));
     }
-    let backing = |name: CompactString| plan::Backing { name, connections: 40, warm_up: None };
+    let backing = |name: CompactString| plan::Upstream { name, connections: 40, warm_up: None };
     parts.push(plan::Part::Routing(plan::Routing {
         number: 1,
         routes: vec![route("sweep", homes, gather), route("split", homes, split)],
@@ -106,7 +106,7 @@
     let this = relays.remove(place);
     let (regions, parts) = (regions(), parts(homes, dark));
     let fleet = plan::Fleet {
-        this: Some(&this),
+        local: Some(&this),
         relays: &relays,
         members: relays.len() as u32 + 1,
         is_settled: true,
@@ -158,7 +158,7 @@
     let view = view(0, &["west"], "", 1);
     let relay = view.classes["sweep"].relay.as_ref().expect("it is passed on");
     assert!(relay.replicas.iter().all(|&id| region_of(&view, id) == "west"));
-    assert!(view.parts.values().all(|part| *part == 0.0), "{:?}", view.parts);
+    assert!(view.limit_shares.values().all(|part| *part == 0.0), "{:?}", view.limit_shares);
 }
 
 /// No host stands in the only home, but leafs do. The host that a caller reached asks them itself, and hands the body
--- a/crates/core/tests/killers.rs
+++ b/crates/core/tests/killers.rs
@@ -74,7 +74,7 @@
 fn view(shards: usize) -> Arc<view::View> {
     let mut view = sharded::view(shards, REPLICAS, 8);
     view.servers.iter_mut().flatten().for_each(|server| server.incarnation = 0);
-    view.classes[0].servers_most = Some(2);
+    view.classes[0].max_servers = Some(2);
     let least = if shards > 1 { 0.5 } else { 1.0 };
     view.classes[0].least_coverage = ratio::Ratio::try_from(least).expect("a ratio");
     Arc::new(view)
@@ -156,26 +156,26 @@
                         }
                     }
                     event::Output::Crashed(crash) => {
-                        self.tables[host].crash(now, &crash);
+                        self.tables[host].record_crash(now, &crash);
                         inputs.push(self.standings(host));
                     }
                     event::Output::Cleared(fingerprint) => {
-                        self.tables[host].answer(now, fingerprint);
+                        self.tables[host].record_answer(now, fingerprint);
                         inputs.push(self.standings(host));
                     }
                     event::Output::AskTrial(trial) => {
                         // The first host grants all trials, and hosts hear of them at once.
-                        if !self.tables[0].grant(now, trial) {
+                        if !self.tables[0].grant_trial(now, trial) {
                             continue;
                         }
-                        let told = self.tables[0].row(now, trial.fingerprint);
+                        let told = self.tables[0].record(now, trial.fingerprint);
                         self.tables.iter_mut().for_each(|table| {
                             table.merge(now, &told);
                         });
                         inputs.push(event::Input::Granted(trial));
                     }
                     event::Output::TrialUnused(trial) => {
-                        self.tables[host].take_back(now, trial);
+                        self.tables[host].cancel_trial(now, trial);
                     }
                     event::Output::Probe { server, .. } => {
                         let is_down = self.leafs[server.index()].down_until > self.now;
@@ -209,7 +209,7 @@
     /// Hosts tell each other what they know.
     fn spread(&mut self) {
         let now = clock::Millis(self.now);
-        let told: Vec<_> = self.tables.iter().flat_map(|table| table.rows(now)).collect();
+        let told: Vec<_> = self.tables.iter().flat_map(|table| table.records(now)).collect();
         for host in 0..HOSTS {
             for told in &told {
                 self.tables[host].merge(now, told);
@@ -351,7 +351,7 @@
 
 /// A request that is suspected, for which a trial is granted.
 fn trial(core: &mut traffic::Core, request: event::Request) -> Vec<event::Output> {
-    let suspects = [(KILLER, Standing::Suspect { until: clock::Millis(1) })].into_iter().collect();
+    let suspects = [(KILLER, Standing::Suspect { trial_at: clock::Millis(1) })].into_iter().collect();
     core.step(clock::Millis(2), [event::Input::Suspects(Arc::new(suspects))]);
     let outputs = core.step(clock::Millis(3), [event::Input::Request(request)]);
     let asked = outputs.iter().find_map(|output| match output {
@@ -421,7 +421,7 @@
         *fingerprint == KILLER && server.starts_with("leaf-0-")
     };
     assert!(outputs.iter().any(is_named), "{outputs:?}");
-    let standings = [(POPULAR, Standing::Convicted { until: clock::Millis(5000) })].into_iter().collect();
+    let standings = [(POPULAR, Standing::Convicted { trial_at: clock::Millis(5000) })].into_iter().collect();
     town.hosts[0].step(clock::Millis(3), [event::Input::Suspects(Arc::new(standings))]);
     let request = event::Request { fingerprint: Some(POPULAR), ..one_leaf::request(2) };
     let outputs = town.hosts[0].step(clock::Millis(3), [event::Input::Request(request)]);
--- a/crates/core/tests/one_leaf/mod.rs
+++ b/crates/core/tests/one_leaf/mod.rs
@@ -44,9 +44,9 @@
             weight: 1.0,
             targets: vec![view::Target { shard: CompactString::const_new("a"), service: id::Service(0), replicas }],
         }],
-        aim: None,
+        target_latency: None,
         shape: view::Shape::Hits,
-        servers_most: None,
+        max_servers: None,
         homes: Vec::new(),
         relay: None,
     };
--- a/crates/core/tests/owners.rs
+++ b/crates/core/tests/owners.rs
@@ -20,8 +20,8 @@
     let hosts: Vec<Candidate> = (0..8).map(|number| host(number, centres[number % 4], 250)).collect();
     let tiers = Tiers::new("s", &homes(&centres), &hosts, 26);
     assert_eq!(tiers.owners.len(), 8);
-    assert!(tiers.seconds.is_empty());
-    assert!((0..8).all(|place| tiers.share(place, 26) == 3));
+    assert!(tiers.standbys.is_empty());
+    assert!((0..8).all(|place| tiers.connection_share(place, 26) == 3));
 }
 
 /// Sixty weak hosts and eight strong ones: the strong ones in the leafs' data centres gather.
@@ -33,9 +33,9 @@
     let tiers = Tiers::new("s", &homes(&["a", "b", "c"]), &hosts, 56);
     assert_eq!(tiers.owners.len(), 6);
     assert!(tiers.owners.iter().all(|&place| hosts[place].power == 500 && hosts[place].data_centre != "d"));
-    assert_eq!(tiers.seconds.len(), 14);
-    assert_eq!(tiers.share(tiers.owners[0], 56), 7);
-    assert_eq!(tiers.share(tiers.seconds[0], 56), 1);
+    assert_eq!(tiers.standbys.len(), 14);
+    assert_eq!(tiers.connection_share(tiers.owners[0], 56), 7);
+    assert_eq!(tiers.connection_share(tiers.standbys[0], 56), 1);
 }
 
 /// The only strong host must not be the only one that gathers: with it everything would be gone.
@@ -44,7 +44,7 @@
     let hosts = vec![host(0, "a", 500), host(1, "a", 120), host(2, "b", 120)];
     let tiers = Tiers::new("s", &homes(&["a"]), &hosts, 56);
     assert!(tiers.owners.contains(&0));
-    assert!(tiers.owners.len() + tiers.seconds.len() == 3);
+    assert!(tiers.owners.len() + tiers.standbys.len() == 3);
 }
 
 proptest! {
@@ -62,7 +62,7 @@
             hosts.push(host(number, centres[*centre], power * 125));
         }
         let tiers = Tiers::new("s", &homes(&["a", "b"]), &hosts, connections);
-        let sum: u32 = (0..hosts.len()).map(|place| tiers.share(place, connections)).sum();
+        let sum: u32 = (0..hosts.len()).map(|place| tiers.connection_share(place, connections)).sum();
         prop_assert!(sum <= connections, "{sum} of {connections}");
         prop_assert!(!tiers.owners.is_empty());
         let mut turned = hosts.clone();
--- a/crates/core/tests/registry/crashing.rs
+++ b/crates/core/tests/registry/crashing.rs
@@ -128,7 +128,7 @@
     // The servers tell no incarnation, and are back under their names.
     view.servers.iter_mut().flatten().for_each(|server| server.incarnation = 0);
     let class = &mut view.classes[0];
-    class.servers_most = Some(2);
+    class.max_servers = Some(2);
     class.deadline = clock::Millis(800);
     let least = if size.shards > 1 { 0.75 } else { 1.0 };
     class.least_coverage = ratio::Ratio::try_from(least).expect("a ratio");
--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -60,7 +60,8 @@
     }
     if text.is_empty() {
         let problem = "the entry is empty".to_owned();
-        let fault = plan::Fault { document: key.into(), place: plan::Place::default(), problem, remedy: String::new() };
+        let fault =
+            plan::Fault { document: key.into(), position: plan::Position::default(), problem, remedy: String::new() };
         return Ok(plan::Part::Unreadable(fault));
     }
     let (service, data_centre, state) = (word(), word(), word());
@@ -79,20 +80,21 @@
 
 fn routing(number: u64, shards: usize) -> plan::Routing {
     let services: Vec<CompactString> = (0..shards).map(|shard| format_compact!("s{shard}")).collect();
-    let to = plan::Destination::Gather { services: services.clone(), top: 10, least_coverage: ratio::Ratio::ONE };
+    let destination =
+        plan::Destination::Gather { services: services.clone(), top: 10, least_coverage: ratio::Ratio::ONE };
     let route = plan::Route {
         name: "sweep".into(),
         host: "example".into(),
         prefix: "/sweep/".into(),
         idempotent: true,
         timeout: clock::Millis(600),
-        aim: Some(clock::Millis(100)),
-        servers_most: 2,
+        target_latency: Some(clock::Millis(100)),
+        max_servers: 2,
         priority: 0,
         homes: Vec::new(),
-        to,
+        destination,
     };
-    let services = services.into_iter().map(|name| plan::Backing { name, connections: 56, warm_up: None }).collect();
+    let services = services.into_iter().map(|name| plan::Upstream { name, connections: 56, warm_up: None }).collect();
     plan::Routing { number, routes: vec![route], services, limits: None }
 }
 
--- a/crates/core/tests/registry/suspects.rs
+++ b/crates/core/tests/registry/suspects.rs
@@ -20,7 +20,7 @@
 }
 
 fn is_held(host: &fleet::Host, fingerprint: Fingerprint) -> bool {
-    host.suspects.get(&fingerprint).is_some_and(|standing| standing.ends_running())
+    host.suspects.get(&fingerprint).is_some_and(|standing| standing.cancels_running())
 }
 
 fn holding(fleet: &Fleet) -> usize {
--- a/crates/core/tests/suspect.rs
+++ b/crates/core/tests/suspect.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use shallothub_core::{
     clock,
-    suspect::{Crash, Fingerprint, Standing, Table, Told, Trial},
+    suspect::{Crash, Fingerprint, Record, Standing, Table, Trial},
 };
 
 const NOW: clock::Millis = clock::Millis(1000);
@@ -22,7 +22,7 @@
 }
 
 fn is_held(table: &Table, fingerprint: u128) -> bool {
-    table.standing(Fingerprint(fingerprint)).is_some_and(|standing| standing.ends_running())
+    table.standing(Fingerprint(fingerprint)).is_some_and(|standing| standing.cancels_running())
 }
 
 fn is_convicted(table: &Table, fingerprint: u128) -> bool {
@@ -33,7 +33,7 @@
 fn held() -> Table {
     let mut table = Table::default();
     for server in 1..4 {
-        table.crash(NOW, &crash(1, server as u64, server));
+        table.record_crash(NOW, &crash(1, server as u64, server));
     }
     assert!(is_held(&table, 1));
     table
@@ -53,7 +53,7 @@
 fn three_servers_hold_a_request(#[case] crashes: &[(u64, usize)], #[case] holds: bool) {
     let mut table = Table::default();
     for &(attempt, server) in crashes {
-        table.crash(NOW, &crash(1, attempt, server));
+        table.record_crash(NOW, &crash(1, attempt, server));
     }
     assert_eq!(is_held(&table, 1), holds);
     assert!(!is_convicted(&table, 1));
@@ -65,12 +65,12 @@
 #[test]
 fn two_crashed_trials_convict() {
     let mut table = held();
-    assert!(table.grant(NOW, trial(10)));
-    table.crash(NOW, &crash(1, 9, 9));
-    table.crash(NOW, &crash(1, 10, 10));
+    assert!(table.grant_trial(NOW, trial(10)));
+    table.record_crash(NOW, &crash(1, 9, 9));
+    table.record_crash(NOW, &crash(1, 10, 10));
     assert!(!is_convicted(&table, 1));
-    assert!(table.grant(later(2000), trial(11)));
-    table.crash(later(2000), &crash(1, 11, 11));
+    assert!(table.grant_trial(later(2000), trial(11)));
+    table.record_crash(later(2000), &crash(1, 11, 11));
     assert!(is_convicted(&table, 1));
 }
 
@@ -79,12 +79,12 @@
 fn no_second_trial_begins_while_one_runs() {
     let mut table = held();
     let mut other = held();
-    assert!(table.grant(NOW, trial(10)));
-    other.merge(NOW, &table.row(NOW, Fingerprint(1)));
+    assert!(table.grant_trial(NOW, trial(10)));
+    other.merge(NOW, &table.record(NOW, Fingerprint(1)));
     for at in [0, 500, 1999] {
-        assert!(!table.grant(later(at), trial(11)) && !other.grant(later(at), trial(12)));
+        assert!(!table.grant_trial(later(at), trial(11)) && !other.grant_trial(later(at), trial(12)));
     }
-    assert!(other.grant(later(2000), trial(12)));
+    assert!(other.grant_trial(later(2000), trial(12)));
 }
 
 /// Two hosts that do not hear of each other each granted a trial, and both crashed servers: together that convicts, and
@@ -93,15 +93,15 @@
 fn trials_at_two_hosts_convict_together() {
     let (mut here, mut there) = (held(), held());
     for (table, attempt) in [(&mut here, 10), (&mut there, 11)] {
-        assert!(table.grant(NOW, trial(attempt)));
-        table.crash(NOW, &crash(1, attempt, attempt as usize));
+        assert!(table.grant_trial(NOW, trial(attempt)));
+        table.record_crash(NOW, &crash(1, attempt, attempt as usize));
     }
-    here.merge(NOW, &there.row(NOW, Fingerprint(1)));
+    here.merge(NOW, &there.record(NOW, Fingerprint(1)));
     assert!(is_convicted(&here, 1));
-    assert!(!here.grant(later(3_600_000), trial(12)));
+    assert!(!here.grant_trial(later(3_600_000), trial(12)));
     let mut fresh = Table::default();
-    fresh.merge(later(10_000_000), &here.row(later(10_000_000), Fingerprint(1)));
-    assert!(fresh.grant(later(11_000_000), trial(12)));
+    fresh.merge(later(10_000_000), &here.record(later(10_000_000), Fingerprint(1)));
+    assert!(fresh.grant_trial(later(11_000_000), trial(12)));
 }
 
 /// Trials whose servers refuse them prove nothing, and do not go on for ever. Those that reached no server are none.
@@ -111,11 +111,11 @@
     let mut reached = 0;
     for step in 0..300_u64 {
         let attempt = trial(100 + step);
-        if !table.grant(later(step * 1000), attempt) {
+        if !table.grant_trial(later(step * 1000), attempt) {
             continue;
         }
         if step.is_multiple_of(4) {
-            assert!(table.take_back(later(step * 1000), attempt));
+            assert!(table.cancel_trial(later(step * 1000), attempt));
             continue;
         }
         reached += 1;
@@ -129,14 +129,14 @@
 fn an_answer_takes_back_what_is_known() {
     let before = held();
     let mut table = held();
-    assert!(table.answer(NOW, Fingerprint(1)));
+    assert!(table.record_answer(NOW, Fingerprint(1)));
     assert_eq!(table.standing(Fingerprint(1)), None);
     let mut other = Table::default();
-    other.merge(NOW, &table.row(NOW, Fingerprint(1)));
-    other.merge(NOW, &before.row(NOW, Fingerprint(1)));
+    other.merge(NOW, &table.record(NOW, Fingerprint(1)));
+    other.merge(NOW, &before.record(NOW, Fingerprint(1)));
     assert_eq!(other.standing(Fingerprint(1)), None);
     // What crashes later counts anew.
-    other.crash(NOW, &crash(1, 20, 20));
+    other.record_crash(NOW, &crash(1, 20, 20));
     assert!(matches!(other.standing(Fingerprint(1)), Some(Standing::Suspect { .. })));
 }
 
@@ -148,16 +148,16 @@
         order in prop::collection::vec(any::<u32>(), 12),
     ) {
         // Each event is what one host knows.
-        let told: Vec<Told> = events
+        let told: Vec<Record> = events
             .iter()
             .map(|&(attempt, server, is_answered)| {
                 let mut table = held();
-                table.grant(NOW, trial(attempt));
-                table.crash(NOW, &crash(1, attempt, server));
+                table.grant_trial(NOW, trial(attempt));
+                table.record_crash(NOW, &crash(1, attempt, server));
                 if is_answered {
-                    table.answer(NOW, Fingerprint(1));
+                    table.record_answer(NOW, Fingerprint(1));
                 }
-                table.row(NOW, Fingerprint(1))
+                table.record(NOW, Fingerprint(1))
             })
             .collect();
         let mut here = Table::default();
@@ -169,7 +169,7 @@
             let mut other = Table::default();
             other.merge(NOW, told);
             for _ in 0..2 {
-                there.merge(NOW, &other.row(NOW, Fingerprint(1)));
+                there.merge(NOW, &other.record(NOW, Fingerprint(1)));
             }
         }
         prop_assert_eq!(here.standing(Fingerprint(1)), there.standing(Fingerprint(1)));
@@ -182,10 +182,10 @@
 fn trials_are_few() {
     let mut tables: Vec<Table> = vec![Table::default(); 8];
     for (attempt, table) in tables.iter_mut().enumerate().skip(1).take(3) {
-        table.crash(NOW, &crash(1, attempt as u64, attempt));
+        table.record_crash(NOW, &crash(1, attempt as u64, attempt));
     }
     let spread = |tables: &mut Vec<Table>, now| {
-        let told: Vec<_> = tables.iter_mut().flat_map(|table| table.tell(now, 16)).collect();
+        let told: Vec<_> = tables.iter_mut().flat_map(|table| table.take_records(now, 16)).collect();
         tables.iter_mut().for_each(|table| {
             told.iter().for_each(|told| {
                 table.merge(now, told);
@@ -203,9 +203,9 @@
         }
         let host = (now.0 / 60_000) as usize % 8;
         let attempt = trial(100 + trials.len() as u64);
-        if tables[host].grant(now, attempt) {
+        if tables[host].grant_trial(now, attempt) {
             trials.push(now);
-            tables[host].crash(now, &crash(1, attempt.attempt, 100 + trials.len()));
+            tables[host].record_crash(now, &crash(1, attempt.attempt, 100 + trials.len()));
         }
         spread(&mut tables, now);
     }
@@ -217,7 +217,7 @@
 fn a_flood_of_suspects_drops_nothing_that_is_held() {
     let mut table = held();
     for fingerprint in 10..20_000 {
-        table.crash(NOW + clock::Millis(fingerprint as u64), &crash(fingerprint, 1, 1));
+        table.record_crash(NOW + clock::Millis(fingerprint as u64), &crash(fingerprint, 1, 1));
     }
     assert!(table.len() <= 1024);
     assert!(is_held(&table, 1));
@@ -229,7 +229,7 @@
 #[test]
 fn a_suspect_is_forgotten() {
     let mut table = Table::default();
-    table.crash(NOW, &crash(1, 1, 1));
+    table.record_crash(NOW, &crash(1, 1, 1));
     assert!(!table.expire(later(3_600_000)));
     assert!(matches!(table.standing(Fingerprint(1)), Some(Standing::Suspect { .. })));
     assert!(table.expire(later(4 * 3_600_000)) && table.is_empty());
@@ -239,13 +239,13 @@
 #[test]
 fn three_attempts_convict_what_nobody_knew() {
     let mut table = Table::default();
-    table.crash(NOW, &crash(1, 1, 1));
+    table.record_crash(NOW, &crash(1, 1, 1));
     let mut attempts = 1;
     for step in 0..100 {
         let now = later(step * 100);
-        if table.grant(now, trial(100 + step)) {
+        if table.grant_trial(now, trial(100 + step)) {
             attempts += 1;
-            table.crash(now, &crash(1, 100 + step, 100 + step as usize));
+            table.record_crash(now, &crash(1, 100 + step, 100 + step as usize));
         }
     }
     assert_eq!(attempts, 3);
--- a/crates/core/tests/town/mod.rs
+++ b/crates/core/tests/town/mod.rs
@@ -716,9 +716,9 @@
         service: CompactString::const_new("s0"),
         epoch: 0,
         deadline: clock::Millis(plan.deadline),
-        aim: Some(clock::Millis(plan.aim)),
+        target_latency: Some(clock::Millis(plan.aim)),
         shape: view::Shape::Records { top: 10 },
-        servers_most: Some(2),
+        max_servers: Some(2),
         relay: (!is_owner).then_some(peer),
         settle: None,
         least_coverage: ratio::Ratio::try_from(plan.least_coverage).unwrap_or_default(),
@@ -729,16 +729,16 @@
         branches: vec![view::Branch { weight: 1.0, targets }],
     };
     // Where only some hosts gather, they share the bounds among them.
-    let mut parts = IndexMap::new();
+    let mut limit_shares = IndexMap::new();
     if plan.owners < plan.hosts {
         let part = if is_owner { 1.0 / plan.owners as f64 } else { 0.0 };
-        parts.extend((0..plan.shards as u32).map(|service| (id::Service(service), part)));
+        limit_shares.extend((0..plan.shards as u32).map(|service| (id::Service(service), part)));
     }
     let stamp = view::Stamp { version: 1, digest: 1, ..view::Stamp::default() };
     let light = view::Class {
         name: CompactString::const_new("strip"),
         deadline: clock::Millis(plan.deadline / 2),
-        aim: Some(clock::Millis(plan.aim / 2)),
+        target_latency: Some(clock::Millis(plan.aim / 2)),
         least_coverage: ratio::Ratio::try_from(0.75).unwrap_or_default(),
         priority: 2,
         ..class.clone()
@@ -752,7 +752,7 @@
         hosts: plan.hosts as u32,
         classes,
         servers,
-        parts,
+        limit_shares,
         ..view::View::default()
     }
 }
--- a/crates/core/tests/warm_up.rs
+++ b/crates/core/tests/warm_up.rs
@@ -48,8 +48,12 @@
     class.branches[0].targets[0].replicas = (0..REPLICAS as u32).map(id::Server).collect();
     for server in 0..REPLICAS {
         let name = format_compact!("leaf-{server}");
-        let warm_up =
-            view::WarmUp { is_warming: known.warming[server], span: clock::Millis(SPAN), rate: RATE, service: SERVICE };
+        let warm_up = view::WarmUp {
+            is_warming: known.warming[server],
+            duration: clock::Millis(SPAN),
+            rate: RATE,
+            service: SERVICE,
+        };
         let row = view::Server {
             address: name.clone(),
             name,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -299,7 +299,7 @@
         let standing = match told.standing() {
             None => "answered by a server, so not suspected".to_owned(),
             Some(standing) => {
-                let (name, wait, trials) = (standing.as_str(), standing.until(), told.tried.len());
+                let (name, wait, trials) = (standing.as_str(), standing.trial_at(), told.tried.len());
                 format!("{name}, next trial in {wait}, {trials} trials so far")
             }
         };
--- a/crates/ctl/src/documents.rs
+++ b/crates/ctl/src/documents.rs
@@ -91,7 +91,7 @@
     }
     Ok(vec![plan::Fault {
         document: CompactString::from(name),
-        place: plan::Place { line: 1, column: 1 },
+        position: plan::Position { line: 1, column: 1 },
         problem: "the manifest does not fit the parts beside it".to_owned(),
         remedy: "make it anew with `shallotctl manifest`, with a higher version".to_owned(),
     }])
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -215,7 +215,7 @@
         task::spawn_local(async move {
             let mut client = platform::Client::default();
             let text = match client
-                .get(address, &path, platform::READ_PATIENCE + time::duration(wait), catalog::VALUE_MAX)
+                .get(address, &path, platform::READ_PATIENCE + time::duration(wait), catalog::MAX_VALUE_BYTES)
                 .await
             {
                 Ok(answer) => text(&path, &answer),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -111,7 +111,7 @@
     /// Data centres that are evacuated, by the list of hosts and the configuration in force.
     pub evacuated: Vec<CompactString>,
     /// Requests that may crash servers.
-    pub suspects: Vec<suspect::Told>,
+    pub suspects: Vec<suspect::Record>,
 }
 
 /// Where a node listens, with the ports that were given out where the settings say 0.
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -102,7 +102,7 @@
     if manifest.version == 0 || manifest.parts.is_empty() {
         return Err(vec![plan::Fault {
             document: CompactString::const_new("manifest"),
-            place: plan::Place { line: 1, column: 1 },
+            position: plan::Position { line: 1, column: 1 },
             problem: "the manifest has version 0 or no parts".to_owned(),
             remedy: "make it anew with `shallotctl manifest`".to_owned(),
         }]);
@@ -112,7 +112,7 @@
 
 /// Reads the part published under `key`.
 pub fn part(key: &str, text: &str) -> Result<plan::Part, Vec<plan::Fault>> {
-    if text.len() > catalog::VALUE_MAX {
+    if text.len() > catalog::MAX_VALUE_BYTES {
         return Err(vec![too_large(key, text.len())]);
     }
     match key.split('/').nth(1) {
@@ -122,7 +122,7 @@
         Some("evacuations") => evacuations(key, text),
         _ => Err(vec![plan::Fault {
             document: CompactString::from(key),
-            place: plan::Place::default(),
+            position: plan::Position::default(),
             problem: "the key does not tell what the part holds".to_owned(),
             remedy: "name it shallothub/services/..., shallothub/selectors/..., shallothub/evacuations/... or \
                      shallothub/hosts/..."
@@ -134,8 +134,8 @@
 fn too_large(key: &str, bytes: usize) -> plan::Fault {
     plan::Fault {
         document: CompactString::from(key),
-        place: plan::Place::default(),
-        problem: format!("the value has {bytes} bytes; the platform holds {} at most", catalog::VALUE_MAX),
+        position: plan::Position::default(),
+        problem: format!("the value has {bytes} bytes; the platform holds {} at most", catalog::MAX_VALUE_BYTES),
         remedy: "cut it into several parts with keys of their own".to_owned(),
     }
 }
@@ -148,17 +148,17 @@
         let place = service.warm_up.as_ref().map(|warm_up| yaml::place(warm_up.referenced));
         let warm_up = service
             .warm_up
-            .map(|warm_up| plan::WarmUp { span: warm_up.value.span_ms, rate: warm_up.value.requests_per_second });
+            .map(|warm_up| plan::WarmUp { duration: warm_up.value.span_ms, rate: warm_up.value.requests_per_second });
         if warm_up.is_some_and(|warm_up| !(warm_up.rate > 0.0 && warm_up.rate.is_finite())) {
             faults.push(plan::Fault {
                 document: CompactString::from(key),
-                place: place.unwrap_or_default(),
+                position: place.unwrap_or_default(),
                 problem: format!("servers of `{}` bear no requests while they warm up", service.name.value),
                 remedy: "set `requests_per_second` above 0, or leave `warm_up` out".to_owned(),
             });
         }
         services.push(plan::Service {
-            place: yaml::place(service.name.referenced),
+            position: yaml::place(service.name.referenced),
             name: service.name.value,
             epoch: service.epoch,
             shards: service.shards,
@@ -174,7 +174,7 @@
 
 fn server(server: Server) -> plan::Server {
     plan::Server {
-        place: yaml::place(server.name.referenced),
+        position: yaml::place(server.name.referenced),
         name: server.name.value,
         shards: server.shards,
         labels: server.labels,
@@ -188,7 +188,7 @@
     let mut selectors = Vec::with_capacity(document.selectors.len());
     for row in document.selectors {
         selectors.push(plan::Selector {
-            place: yaml::place(row.name.referenced),
+            position: yaml::place(row.name.referenced),
             name: row.name.value,
             service: row.service,
             labels: row.labels,
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -143,7 +143,7 @@
     let mut fault = |problem: &str, remedy: &str| {
         faults.push(plan::Fault {
             document: CompactString::from(document),
-            place: plan::Place { line: 1, column: 1 },
+            position: plan::Position { line: 1, column: 1 },
             problem: problem.to_owned(),
             remedy: remedy.to_owned(),
         });
--- a/crates/settings/src/yaml.rs
+++ b/crates/settings/src/yaml.rs
@@ -14,15 +14,15 @@
 
 fn fault(document: &str, error: &serde_saphyr::Error) -> plan::Fault {
     let error = error.without_snippet();
-    let place = error.location().map_or_else(plan::Place::default, place);
+    let position = error.location().map_or_else(plan::Position::default, place);
     let message = error.to_string();
     let problem = message.lines().next().unwrap_or_default().to_owned();
-    plan::Fault { document: CompactString::from(document), place, remedy: remedy(&problem).to_owned(), problem }
+    plan::Fault { document: CompactString::from(document), position, remedy: remedy(&problem).to_owned(), problem }
 }
 
 /// The place of `location`.
-pub(crate) fn place(location: serde_saphyr::Location) -> plan::Place {
-    plan::Place { line: location.line(), column: location.column() }
+pub(crate) fn place(location: serde_saphyr::Location) -> plan::Position {
+    plan::Position { line: location.line(), column: location.column() }
 }
 
 fn remedy(problem: &str) -> &'static str {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -62,8 +62,8 @@
 ) {
     let faults = faults(services, selectors);
     let fault = faults.first().expect("a fault");
-    assert_eq!(fault.place.line, line, "{fault}");
-    assert!(fault.place.column > 0, "{fault}");
+    assert_eq!(fault.position.line, line, "{fault}");
+    assert!(fault.position.column > 0, "{fault}");
     assert!(fault.problem.contains(problem), "{fault}");
     assert!(!fault.remedy.is_empty(), "{fault}");
 }
@@ -74,7 +74,7 @@
 #[case::no_list("data_centres: north", 1, "")]
 fn a_faulty_evacuation_is_refused(#[case] text: &str, #[case] line: u64, #[case] problem: &str) {
     let faults = document::part("shallothub/evacuations/now", text).expect_err("refused");
-    assert_eq!(faults[0].place.line, line, "{}", faults[0]);
+    assert_eq!(faults[0].position.line, line, "{}", faults[0]);
     assert!(faults[0].problem.contains(problem) && !faults[0].remedy.is_empty(), "{}", faults[0]);
 }
 
@@ -105,7 +105,7 @@
     let faults = node::read("node.yaml", text).expect_err("faults");
     assert_eq!(faults.len(), 3, "{faults:?}");
     let faults = node::read("node.yaml", "name: a\nlissten: 1\n").expect_err("faults");
-    assert_eq!((faults[0].place.line, faults[0].problem.contains("lissten")), (2, true), "{}", faults[0]);
+    assert_eq!((faults[0].position.line, faults[0].problem.contains("lissten")), (2, true), "{}", faults[0]);
 }
 
 /// Each setting out of its range has its own fault, with what to write instead.
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -313,17 +313,17 @@
 }
 
 fn routing(number: u64, shards: &[CompactString]) -> plan::Routing {
-    let route = |name: &str, idempotent, to| plan::Route {
+    let route = |name: &str, idempotent, destination| plan::Route {
         name: name.into(),
         host: HOST.into(),
         prefix: format_compact!("/{name}/"),
         idempotent,
         timeout: clock::Millis(1500),
-        aim: Some(clock::Millis(300)),
-        servers_most: 2,
+        target_latency: Some(clock::Millis(300)),
+        max_servers: 2,
         priority: 1,
         homes: Vec::new(),
-        to,
+        destination,
     };
     let gather = plan::Destination::Gather {
         services: shards.to_vec(),
@@ -333,7 +333,7 @@
     let letters = || plan::Destination::Services(vec![(CompactString::const_new("letters"), 1.0)]);
     let mut services: Vec<CompactString> = shards.to_vec();
     services.push("letters".into());
-    let backing = |name| plan::Backing { name, connections: 40, warm_up: None };
+    let backing = |name| plan::Upstream { name, connections: 40, warm_up: None };
     plan::Routing {
         number,
         routes: vec![route("gather", true, gather), route("read", true, letters()), route("write", false, letters())],
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -203,7 +203,7 @@
 fn set(deployment: &Deployment) -> Vec<compact_str::CompactString> {
     let mut shards = Vec::new();
     for route in &deployment.routing.routes {
-        if let shallothub_core::plan::Destination::Gather { services, .. } = &route.to {
+        if let shallothub_core::plan::Destination::Gather { services, .. } = &route.destination {
             shards.clone_from(services);
         }
     }
--- a/crates/standin/src/replica.rs
+++ b/crates/standin/src/replica.rs
@@ -121,7 +121,7 @@
 
 /// The records of a part, the same for each replica of a service.
 pub fn records(service: &str, request: &str) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(RECORDS * merge::RECORD);
+    let mut bytes = Vec::with_capacity(RECORDS * merge::RECORD_BYTES);
     for number in 0..RECORDS {
         let text = format!("{service} {request} {number}");
         bytes.extend_from_slice(&xxh3::xxh3_128(text.as_bytes()).to_be_bytes());
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -53,9 +53,9 @@
         let mut table = suspect::Table::default();
         for server in ["a", "b", "c"] {
             let (fingerprint, server) = (trial.fingerprint, server.into());
-            table.crash(clock::Millis(1), &suspect::Crash { fingerprint, attempt, server });
+            table.record_crash(clock::Millis(1), &suspect::Crash { fingerprint, attempt, server });
         }
-        let trial = Box::new(message::Trial { trial, row: table.row(clock::Millis(2), trial.fingerprint) });
+        let trial = Box::new(message::Trial { trial, row: table.record(clock::Millis(2), trial.fingerprint) });
         if is_granted { message::Body::GrantTrial(trial) } else { message::Body::AskTrial(trial) }
     });
     prop_oneof![digest, ask, update, trial]
--- a/tests/platform/operators.rs
+++ b/tests/platform/operators.rs
@@ -82,7 +82,7 @@
         }
     };
     for service in &mut deployment.routing.services {
-        service.warm_up = Some(plan::WarmUp { span: clock::Millis(3000), rate: RATE });
+        service.warm_up = Some(plan::WarmUp { duration: clock::Millis(3000), rate: RATE });
     }
     deployment.routing.number += 1;
     deployment.registry.configure(&deployment.routing);
