--- a/crates/core/src/control/message.rs
+++ b/crates/core/src/control/message.rs
@@ -39,7 +39,7 @@
     /// A full or incremental catalog update.
     Catalog(Update),
     /// Records of requests that may crash servers.
-    Suspects(Vec<suspect::Told>),
+    Suspects(Vec<suspect::Record>),
     /// Requests permission to send an attempt of a suspected request.
     AskTrial(Box<Trial>),
     /// Grants the trial requested by [`Body::AskTrial`].
@@ -53,7 +53,7 @@
     pub trial: suspect::Trial,
     /// The sender's record of the request.
     #[serde(default)]
-    pub row: suspect::Told,
+    pub row: suspect::Record,
 }
 
 /// A summary of a host's state, with the age of its last confirmation by the platform.
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -289,8 +289,8 @@
     }
 
     /// This host's records of requests that may crash servers.
-    pub fn suspects(&self) -> Vec<suspect::Told> {
-        self.suspects.table.rows(self.now)
+    pub fn suspects(&self) -> Vec<suspect::Record> {
+        self.suspects.table.records(self.now)
     }
 
     /// Counters since the core was created.
--- a/crates/core/src/control/platform.rs
+++ b/crates/core/src/control/platform.rs
@@ -128,7 +128,7 @@
     fn collect(&mut self, kind: catalog::Kind, manifest: catalog::Manifest) {
         let replica = &mut self.shelves[kind.index()];
         let missing: Vec<CompactString> =
-            replica.current.lacks(&manifest).into_iter().map(|(key, _)| key.clone()).collect();
+            replica.current.missing_parts(&manifest).into_iter().map(|(key, _)| key.clone()).collect();
         replica.pending = Some(manifest);
         replica.next_read_at = self.now + WATCH_RETRY_DELAY;
         for key in missing {
--- a/crates/core/src/control/replica.rs
+++ b/crates/core/src/control/replica.rs
@@ -78,7 +78,7 @@
         let Some(manifest) = replica.pending.take() else {
             return false;
         };
-        if !replica.current.lacks(&manifest).is_empty() {
+        if !replica.current.missing_parts(&manifest).is_empty() {
             replica.pending = Some(manifest);
             return false;
         }
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -191,7 +191,7 @@
             return;
         }
         shelf.current.texts.extend(texts);
-        if !shelf.current.lacks(&manifest).is_empty() {
+        if !shelf.current.missing_parts(&manifest).is_empty() {
             self.request_whole(from, kind);
             return;
         }
--- a/crates/core/src/traffic/fleet.rs
+++ b/crates/core/src/traffic/fleet.rs
@@ -106,7 +106,7 @@
 
     /// Whether the bound holds for `service`.
     pub(crate) fn holds(&mut self, now: clock::Millis, service: id::Service) -> bool {
-        self.bucket(now, service).is_none_or(|bucket| bucket.holds())
+        self.bucket(now, service).is_none_or(|bucket| bucket.is_within_bound())
     }
 }
 
--- a/crates/core/src/traffic/hedge.rs
+++ b/crates/core/src/traffic/hedge.rs
@@ -27,7 +27,7 @@
         if query.is_forwarded {
             return self.relay_delay(class);
         }
-        let aim = query.selector().aim;
+        let aim = query.selector().target_latency;
         let quantile = self.classes[class].attempt_times.quantile(self.policy.hedge_quantile);
         let latest = aim.map_or(clock::Millis::MAX, |aim| clock::Millis(aim.0 / 2));
         quantile.unwrap_or(DEFAULT_DELAY).min(latest).max(self.policy.hedge_floor)
--- a/crates/core/src/traffic/suspect.rs
+++ b/crates/core/src/traffic/suspect.rs
@@ -149,7 +149,7 @@
             return Hold::Granted;
         }
         let is_running = self.trials.get(&fingerprint).is_some_and(|query| self.queries.get(query.0).is_some());
-        if standing.until() <= self.now && !is_running {
+        if standing.trial_at() <= self.now && !is_running {
             return Hold::Open;
         }
         Hold::Closed { fingerprint, retry_after: self.retry_after(standing) }
@@ -157,8 +157,8 @@
 
     /// Retry-after for a request that is not sent now.
     fn retry_after(&self, standing: suspect::Standing) -> clock::Millis {
-        let min = if standing.ends_running() { TRIAL_RETRY_AFTER } else { SUSPECT_RETRY_AFTER };
-        standing.until().since(self.now).max(min)
+        let min = if standing.cancels_running() { TRIAL_RETRY_AFTER } else { SUSPECT_RETRY_AFTER };
+        standing.trial_at().since(self.now).max(min)
     }
 
     /// Standing of a request, unless it was answered here recently.
@@ -373,7 +373,7 @@
         let running: Vec<id::Query> =
             self.queries.iter().filter(|(_, row)| self.is_suspect(row)).map(|(key, _)| id::Query(key)).collect();
         for query in running {
-            if self.blocking_standing(query).is_some_and(suspect::Standing::ends_running) {
+            if self.blocking_standing(query).is_some_and(suspect::Standing::cancels_running) {
                 self.finish_held(query);
             }
         }
--- a/crates/core/src/traffic/warm_up.rs
+++ b/crates/core/src/traffic/warm_up.rs
@@ -74,14 +74,14 @@
         };
         let was_cold = self.is_cold(now);
         if published.is_warming && !self.is_reported {
-            self.until = now + MAX_REPORTED_SPAN.max(published.span);
+            self.until = now + MAX_REPORTED_SPAN.max(published.duration);
         }
         if !published.is_warming && self.is_reported {
             self.until = now;
         }
         self.is_reported = published.is_warming;
         if is_reinstated {
-            self.until = self.until.max(now + published.span);
+            self.until = self.until.max(now + published.duration);
         }
         if !was_cold && self.is_cold(now) {
             self.next_at = now;
