--- a/benches/capacity/slopes.rs
+++ b/benches/capacity/slopes.rs
@@ -265,7 +265,7 @@
     let request = event::Request {
         caller: id::Caller(caller),
         class,
-        patience: None,
+        timeout: None,
         key: None,
         relayed: None,
         fingerprint: None,
--- a/crates/core/benches/decisions/run.rs
+++ b/crates/core/benches/decisions/run.rs
@@ -250,7 +250,7 @@
             event::Input::Request(event::Request {
                 caller,
                 class,
-                patience: None,
+                timeout: None,
                 key: None,
                 relayed: None,
                 fingerprint: None,
@@ -268,7 +268,7 @@
                 event::Output::Trim { .. }
                 | event::Output::Revalidate
                 | event::Output::Crashed(_)
-                | event::Output::AskTrial(_)
+                | event::Output::RequestTrial(_)
                 | event::Output::TrialUnused(_)
                 | event::Output::Probe { .. }
                 | event::Output::Cleared(_)
--- a/crates/core/src/traffic/admit.rs
+++ b/crates/core/src/traffic/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: who may run now, who waits, and who is refused at once.
+//! Admission control: starts, queues or refuses incoming requests.
 
 use std::sync::Arc;
 
@@ -9,17 +9,17 @@
 
 use super::{class, event, key, query, suspect, timer::Timer, why};
 
-/// Longest that a request which is not idempotent is refused after a pause without confirmation.
-const CONFIRM_MOST: clock::Millis = clock::Millis(5000);
+/// Longest time after a process pause that non-idempotent requests are refused if the view is not confirmed.
+const MAX_UNCONFIRMED: clock::Millis = clock::Millis(5000);
 
-/// When to come back to a host that knows no configuration yet: about what a read of it takes.
-const START_AFTER: clock::Millis = clock::Millis(200);
-/// When to come back for a request that too few servers could run: a server that was started anew is
-/// listed about a heartbeat later.
-const NO_REPLICA_AFTER: clock::Millis = clock::Millis(1000);
+/// Retry delay while this host has no configuration yet: about the time that a read of it takes.
+const STARTING_RETRY_AFTER: clock::Millis = clock::Millis(200);
+/// Retry delay for a request that too few servers can run: a restarted server is listed about one
+/// heartbeat later.
+const NO_REPLICA_RETRY_AFTER: clock::Millis = clock::Millis(1000);
 
-/// Where in the view a query stands.
-struct Place {
+/// The class and branch indexes of a query in the view, and how it is executed.
+struct Route {
     selector: usize,
     branch: usize,
     is_passed_on: bool,
@@ -29,7 +29,7 @@
 impl super::Core {
     pub(super) fn on_request(&mut self, request: event::Request) {
         if self.view.stamp == view::Stamp::default() {
-            self.refuse(&request, event::Code::Starting, Some(START_AFTER), why::Why::Plain);
+            self.refuse(&request, event::Code::Starting, Some(STARTING_RETRY_AFTER), why::Why::Plain);
             return;
         }
         let view = Arc::clone(&self.view);
@@ -47,42 +47,42 @@
                 return;
             }
         };
-        let patience = request.patience.unwrap_or(class.deadline).min(class.deadline);
-        if patience <= self.policy.margin {
-            self.refuse(&request, event::Code::DeadlinePassed, None, why::Why::Late { patience });
+        let timeout = request.timeout.unwrap_or(class.deadline).min(class.deadline);
+        if timeout <= self.policy.margin {
+            self.refuse(&request, event::Code::DeadlinePassed, None, why::Why::Late { patience: timeout });
             return;
         }
-        let row = self.class_row(&request.class);
-        let branch = self.pick_branch(row, class);
+        let class_index = self.class_index(&request.class);
+        let branch = self.pick_branch(class_index, class);
         let is_passed_on = request.relayed.is_none() && self.may_pass_on(class);
         if !is_passed_on && !self.is_reachable(class, branch) {
-            let why = self.closed(class, branch);
-            self.refuse(&request, event::Code::NoReplica, Some(NO_REPLICA_AFTER), why);
+            let why = self.no_replica_reason(class, branch);
+            self.refuse(&request, event::Code::NoReplica, Some(NO_REPLICA_RETRY_AFTER), why);
             return;
         }
         let idempotent = class.idempotent;
-        if !idempotent && self.is_unconfirmed() {
-            let why = self.paused();
+        if !idempotent && self.is_view_unconfirmed() {
+            let why = self.pause_reason();
             self.refuse(&request, event::Code::Revalidating, Some(self.policy.revalidate_grace), why);
             return;
         }
-        if let Some(why) = self.overload(row, patience) {
-            let retry_after = self.classes[row].retry_after();
+        if let Some(why) = self.overload_reason(class_index, timeout) {
+            let retry_after = self.classes[class_index].retry_after();
             self.refuse(&request, event::Code::Overloaded, Some(retry_after), why);
             return;
         }
         let settle_at = match request.relayed {
             Some(relayed) => relayed.settle.map(|settle| self.now + settle),
-            None => class.aim.map(|aim| self.now + self.time_to_aim(row, aim, request.patience)),
+            None => class.aim.map(|aim| self.now + self.time_to_aim(class_index, aim, request.timeout)),
         };
         if let Some(settle_at) = settle_at.filter(|_| !is_passed_on)
-            && let Some((retry_after, why)) = self.lacks_room(row, class, branch, settle_at.since(self.now))
+            && let Some((retry_after, why)) = self.lacks_room(class_index, class, branch, settle_at.since(self.now))
         {
             self.refuse(&request, event::Code::Overloaded, Some(retry_after), why);
             return;
         }
         if !idempotent {
-            match self.claim(&request) {
+            match self.claim_key(&request) {
                 key::Claim::Granted => {}
                 key::Claim::Known => {
                     self.refuse_duplicate(&request);
@@ -95,35 +95,35 @@
                 }
             }
         }
-        let deadline = self.now + patience - self.policy.margin;
-        self.enqueue(request, row, Place { selector, branch, is_passed_on, trial }, deadline, settle_at);
+        let deadline = self.now + timeout - self.policy.margin;
+        self.enqueue(request, class_index, Route { selector, branch, is_passed_on, trial }, deadline, settle_at);
     }
 
-    /// The alternative for the next request of a class.
-    fn pick_branch(&mut self, row: usize, class: &view::Class) -> usize {
+    /// Picks the branch for the next request of a class, by weight.
+    fn pick_branch(&mut self, class_index: usize, class: &view::Class) -> usize {
         if class.branches.len() < 2 {
             return 0;
         }
         let start = self.random.random();
-        self.classes[row].split.next(class.branches.iter().map(|branch| branch.weight), start)
+        self.classes[class_index].split.next(class.branches.iter().map(|branch| branch.weight), start)
     }
 
-    /// Time until an answer must leave to be inside the aim, which counts from the caller's first
-    /// attempt. A caller that asks again has less patience left than it began with; the difference
-    /// to the most that callers of the class have is how long ago it began.
-    fn time_to_aim(&mut self, row: usize, aim: clock::Millis, patience: Option<clock::Millis>) -> clock::Millis {
-        let Some(patience) = patience else {
+    /// Time until an answer must be sent to meet the aim, which counts from the caller's first
+    /// attempt. A caller that retries has a shorter timeout left than initially; the difference to
+    /// the longest timeout of the class's callers estimates the time since that first attempt.
+    fn time_to_aim(&mut self, class_index: usize, aim: clock::Millis, timeout: Option<clock::Millis>) -> clock::Millis {
+        let Some(timeout) = timeout else {
             return aim - self.policy.aim_margin;
         };
-        let most = self.classes[row].patience.most(self.now, patience);
-        aim - self.policy.aim_margin - most.since(patience)
+        let max_timeout = self.classes[class_index].patience.most(self.now, timeout);
+        aim - self.policy.aim_margin - max_timeout.since(timeout)
     }
 
     fn enqueue(
         &mut self,
         request: event::Request,
         class: usize,
-        place: Place,
+        route: Route,
         deadline: clock::Millis,
         settle_at: Option<clock::Millis>,
     ) {
@@ -133,14 +133,14 @@
             caller,
             class,
             view: Arc::clone(&self.view),
-            selector: place.selector,
-            branch: place.branch,
-            is_passed_on: place.is_passed_on,
+            selector: route.selector,
+            branch: route.branch,
+            is_passed_on: route.is_passed_on,
             via: None,
             key: request.key,
             fingerprint: request.fingerprint,
             evidence: trial.unwrap_or_else(|| self.random.random()),
-            trial: place.trial,
+            trial: route.trial,
             is_canary: false,
             arrived: self.now,
             deadline,
@@ -161,7 +161,7 @@
         }));
         self.callers.insert(caller, query);
         self.timers.push(deadline, Timer::Deadline(query));
-        if place.trial == query::Trial::Asked {
+        if route.trial == query::Trial::Asked {
             self.ask_trial(query);
             return;
         }
@@ -169,29 +169,29 @@
         self.admit_class(class);
     }
 
-    /// Whether enough shards have a server that takes new work.
+    /// Whether enough shards have a server that accepts new requests.
     pub(super) fn is_reachable(&self, class: &view::Class, branch: usize) -> bool {
         let targets = class.branches.get(branch).map_or(&[][..], |branch| &branch.targets);
         let mut open = 0;
         for target in targets {
-            let can_serve = |&id: &id::Server| {
+            let accepts_work = |&id: &id::Server| {
                 let state = &self.servers[id.index()];
                 self.is_open(id) && state.share > 0 && !state.is_barred(self.now)
             };
-            open += usize::from(target.replicas.iter().any(can_serve));
+            open += usize::from(target.replicas.iter().any(accepts_work));
         }
         open > 0 && class.least_coverage.is_met(open, targets.len())
     }
 
-    /// Which shards have no server that takes new work, and what keeps each of their servers from it.
-    fn closed(&self, class: &view::Class, branch: usize) -> why::Why {
+    /// Lists the shards without a server that accepts new requests, and the reason for each of their servers.
+    fn no_replica_reason(&self, class: &view::Class, branch: usize) -> why::Why {
         let targets = class.branches.get(branch).map_or(&[][..], |branch| &branch.targets);
         let mut closed = Vec::new();
         for target in targets {
             let mut servers = Vec::new();
             for &id in &target.replicas {
                 let state = &self.servers[id.index()];
-                let word = match self.view.server(id) {
+                let reason = match self.view.server(id) {
                     None => "is gone",
                     Some(server) if server.leaving => "is leaving",
                     Some(server) if server.evacuated => "is in an evacuated data centre",
@@ -200,7 +200,7 @@
                     Some(_) if state.share == 0 => "has no connection for this host",
                     Some(_) => continue,
                 };
-                servers.push((self.server_name(id), word));
+                servers.push((self.server_name(id), reason));
             }
             if servers.len() == target.replicas.len() {
                 closed.push(why::Closed { shard: target.shard.clone(), servers });
@@ -209,37 +209,37 @@
         why::Why::Closed { open: targets.len() - closed.len(), shards: targets.len(), closed }
     }
 
-    fn paused(&self) -> why::Why {
+    fn pause_reason(&self) -> why::Why {
         why::Why::Paused { ago: self.paused_at.map_or(clock::Millis::ZERO, |at| self.now.since(at)) }
     }
 
-    fn class_row(&mut self, name: &CompactString) -> usize {
-        if let Some(row) = self.classes.get_index_of(name) {
-            return row;
+    fn class_index(&mut self, name: &CompactString) -> usize {
+        if let Some(index) = self.classes.get_index_of(name) {
+            return index;
         }
         let class = class::Class::new(name.clone(), &self.policy);
         self.classes.insert_full(name.clone(), class).0
     }
 
-    /// Why the class could not serve one more request within `patience`, if it could not.
-    fn overload(&self, row: usize, patience: clock::Millis) -> Option<why::Why> {
-        let class = &self.classes[row];
+    /// The reason why the class cannot serve one more request within `timeout`; `None` if it can.
+    fn overload_reason(&self, class_index: usize, timeout: clock::Millis) -> Option<why::Why> {
+        let class = &self.classes[class_index];
         if class.queue.is_empty() && class.has_room(&self.policy) {
             return None;
         }
         let is_full = class.queue.len() >= self.policy.queue_ceiling as usize;
         let wait = class.expected_wait();
-        let is_long = wait > patience.scale(self.policy.queue_share.get());
+        let is_long = wait > timeout.scale(self.policy.queue_share.get());
         let run = class.slow_run();
-        if !is_full && !is_long && wait + run + self.policy.margin < patience {
+        if !is_full && !is_long && wait + run + self.policy.margin < timeout {
             return None;
         }
         let (running, waiting) = (class.running, class.queue.len());
         let limit = if self.policy.adaptive_admission { class.limit() } else { self.policy.running_ceiling };
-        Some(why::Why::Queue { running, limit, waiting, wait, run, patience })
+        Some(why::Why::Queue { running, limit, waiting, wait, run, patience: timeout })
     }
 
-    fn claim(&mut self, request: &event::Request) -> key::Claim {
+    fn claim_key(&mut self, request: &event::Request) -> key::Claim {
         let Some(key) = &request.key else {
             return key::Claim::Granted;
         };
@@ -249,7 +249,7 @@
         self.keys.claim(key, self.now, self.policy.key_ceiling)
     }
 
-    /// Starts queries of each class while there is room, the highest priority first.
+    /// Starts queued queries of each class while its concurrency limit allows.
     pub(super) fn admit_waiting(&mut self) {
         for class in 0..self.classes.len() {
             self.admit_class(class);
@@ -257,7 +257,7 @@
     }
 
     pub(super) fn admit_class(&mut self, class: usize) {
-        while !self.is_holding && self.classes[class].has_room(&self.policy) {
+        while !self.is_sending_paused && self.classes[class].has_room(&self.policy) {
             let Some(query) = self.classes[class].queue.pop_front() else {
                 return;
             };
@@ -265,114 +265,114 @@
         }
     }
 
-    fn start(&mut self, query: id::Query) {
+    fn start(&mut self, id: id::Query) {
         let now = self.now;
-        let Some(row) = self.queries.get(query.0) else {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        if row.started.is_some() {
+        if query.started.is_some() {
             return;
         }
-        let class = row.class;
-        // Only a query that waited is refused for want of time. If a fresh one were, then after an
-        // outage in which runs took as long as the deadline nothing would ever run again, and the
-        // class would never learn that its servers are well.
-        let has_waited = row.arrived < now;
-        if has_waited && row.deadline <= now + self.classes[class].typical_run() {
+        let class = query.class;
+        // Only a query that has waited is refused for lack of time. After an outage in which runs
+        // took as long as the deadline, refusing new ones too would stop all queries, and the class
+        // would get no samples that show that its servers have recovered.
+        let has_waited = query.arrived < now;
+        if has_waited && query.deadline <= now + self.classes[class].typical_run() {
             let retry_after = self.classes[class].retry_after();
-            let (wait, left) = (now.since(row.arrived), row.deadline.since(now));
+            let (wait, left) = (now.since(query.arrived), query.deadline.since(now));
             let why = why::Why::Waited { wait, run: self.classes[class].typical_run(), left };
-            self.finish_because(query, event::Code::Overloaded, Some(retry_after), why);
+            self.finish_with_reason(id, event::Code::Overloaded, Some(retry_after), why);
             return;
         }
-        if !row.selector().idempotent && self.is_unconfirmed() {
-            let why = self.paused();
-            self.finish_because(query, event::Code::Revalidating, Some(self.policy.revalidate_grace), why);
+        if !query.selector().idempotent && self.is_view_unconfirmed() {
+            let why = self.pause_reason();
+            self.finish_with_reason(id, event::Code::Revalidating, Some(self.policy.revalidate_grace), why);
             return;
         }
         self.classes[class].running += 1;
-        self.begin(query);
+        self.send_first_attempts(id);
     }
 
-    /// Sends the first attempts of a query on the view in force.
-    pub(super) fn begin(&mut self, query: id::Query) {
+    /// Sends the first attempts of a query on the view in force; of a suspected one, only that of its first shard.
+    pub(super) fn send_first_attempts(&mut self, id: id::Query) {
         let now = self.now;
         let view = Arc::clone(&self.view);
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let name = row.selector().name.clone();
+        let name = query.selector().name.clone();
         let Some((selector, _, class)) = view.classes.get_full(&name) else {
-            self.finish_unanswered(query, event::Code::UnknownClass, None);
+            self.finish_unanswered(id, event::Code::UnknownClass, None);
             return;
         };
-        row.view = Arc::clone(&view);
-        row.selector = selector;
-        // A view that came while the query waited may have cut the alternatives anew.
-        row.branch = row.branch.min(class.branches.len().saturating_sub(1));
-        row.started.get_or_insert(now);
-        let parts = row.targets().len();
-        row.parts = vec![query::Part::default(); parts];
-        row.groups.clear();
-        row.failed = 0;
-        row.last = None;
-        row.want = None;
-        row.is_placing = true;
+        query.view = Arc::clone(&view);
+        query.selector = selector;
+        // A view that arrived while the query waited may have changed the branches.
+        query.branch = query.branch.min(class.branches.len().saturating_sub(1));
+        query.started.get_or_insert(now);
+        let parts = query.targets().len();
+        query.parts = vec![query::Part::default(); parts];
+        query.groups.clear();
+        query.failed = 0;
+        query.last = None;
+        query.want = None;
+        query.is_placing = true;
         let count = parts as u64;
-        let class_row = row.class;
+        let class_index = query.class;
         if let Some(settle) = class.settle {
-            row.settle_at = Some(now + settle);
+            query.settle_at = Some(now + settle);
         }
-        let is_passed_on = row.is_passed_on;
-        if let Some(settle_at) = row.settle_at.filter(|_| !is_passed_on) {
-            self.timers.push(settle_at.max(now), Timer::Settle(query));
+        let is_passed_on = query.is_passed_on;
+        if let Some(settle_at) = query.settle_at.filter(|_| !is_passed_on) {
+            self.timers.push(settle_at.max(now), Timer::Settle(id));
         }
-        if !is_passed_on && row.restarts == 0 {
-            for target in row.targets() {
+        if !is_passed_on && query.restarts == 0 {
+            for target in query.targets() {
                 self.fleet.earn(now, target.service);
             }
-            self.classes[class_row].hedges.earn(count);
-            self.classes[class_row].retries.earn(count);
+            self.classes[class_index].hedges.earn(count);
+            self.classes[class_index].retries.earn(count);
         }
-        self.pick_snapshot(query);
-        self.arm_hedge(query, now);
-        let is_canary = count > 1 && self.queries.get(query.0).is_some_and(|row| self.is_suspect(row));
-        if let Some(row) = self.queries.get_mut(query.0) {
-            row.is_canary = is_canary;
+        self.pick_snapshot(id);
+        self.arm_hedge(id, now);
+        let is_canary = count > 1 && self.queries.get(id.0).is_some_and(|query| self.is_suspect(query));
+        if let Some(query) = self.queries.get_mut(id.0) {
+            query.is_canary = is_canary;
         }
         if is_canary {
-            self.place(query, 0, query::Kind::First);
+            self.dispatch(id, 0, query::Kind::First);
             return;
         }
-        self.place_from(query, 0);
+        self.dispatch_from(id, 0);
     }
 
-    /// Asks the shards of a query from the one at `first` on.
-    pub(super) fn place_from(&mut self, query: id::Query, first: u32) {
-        let count = self.queries.get(query.0).map_or(0, |row| row.parts.len()) as u32;
+    /// Sends the first attempts for the shards of a query from index `first` on.
+    pub(super) fn dispatch_from(&mut self, id: id::Query, first: u32) {
+        let count = self.queries.get(id.0).map_or(0, |query| query.parts.len()) as u32;
         for part in first..count {
-            self.place(query, part, query::Kind::First);
-            if self.queries.get(query.0).is_none() {
+            self.dispatch(id, part, query::Kind::First);
+            if self.queries.get(id.0).is_none() {
                 return;
             }
         }
-        if let Some(row) = self.queries.get_mut(query.0) {
-            row.is_placing = false;
-            self.settle(query);
+        if let Some(query) = self.queries.get_mut(id.0) {
+            query.is_placing = false;
+            self.settle(id);
         }
     }
 
-    /// The time after a pause in which nothing is sent is over.
+    /// Resumes sending after a process pause.
     pub(super) fn resume(&mut self) {
-        self.is_holding = false;
+        self.is_sending_paused = false;
         for server in 0..self.servers.len() {
-            self.pump(id::Server(server as u32));
+            self.send_waiting(id::Server(server as u32));
         }
     }
 
-    /// Whether the view has not been confirmed since a pause.
-    fn is_unconfirmed(&self) -> bool {
-        self.paused_at.is_some_and(|at| self.now.since(at) < CONFIRM_MOST)
+    /// Whether the view has not been confirmed since a recent process pause.
+    fn is_view_unconfirmed(&self) -> bool {
+        self.paused_at.is_some_and(|at| self.now.since(at) < MAX_UNCONFIRMED)
     }
 
     fn refuse(
@@ -385,8 +385,8 @@
         self.refuse_with(request, code, event::Outcome::NotRun, retry_after, why);
     }
 
-    /// The request itself was not run, but the one before it with this key was or may have been,
-    /// so the caller must not conclude that nothing ran.
+    /// Refuses a request whose key is already known. This request did not run, but the previous one
+    /// with the key did or may have, so the outcome must not be `NotRun`.
     fn refuse_duplicate(&mut self, request: &event::Request) {
         self.refuse_with(request, event::Code::DuplicateKey, event::Outcome::Unknown, None, why::Why::Plain);
     }
@@ -406,7 +406,7 @@
             outcome,
             code,
             why,
-            late: None,
+            lateness: None,
             snapshot: None,
             contributed: Vec::new(),
             missing: Vec::new(),
--- a/crates/core/src/traffic/dispatch.rs
+++ b/crates/core/src/traffic/dispatch.rs
@@ -1,4 +1,4 @@
-//! Routing: which replica gets an attempt, when it is sent, and when another one is allowed.
+//! Dispatch: sends attempts to replicas, queues them at busy servers, and retries failed ones.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 
 use super::{event, note, query, server, suspect, timer::Timer};
 
-/// First backoff before a shard whose replicas were all tried is asked again.
-const BACKOFF: clock::Millis = clock::Millis(5);
-/// Most times that a shard waits for the retry budget.
-const BUDGET_WAITS: u8 = 4;
+/// Initial backoff before a retry for a shard whose replicas have all been tried.
+const INITIAL_BACKOFF: clock::Millis = clock::Millis(5);
+/// Maximum number of times that a shard waits for the retry budget.
+const MAX_BUDGET_WAITS: u8 = 4;
 
 impl super::Core {
-    /// Sends an attempt for a shard, or lets it wait for room at a server.
-    pub(super) fn place(&mut self, query: id::Query, part: u32, kind: query::Kind) {
+    /// Sends an attempt for a shard, or queues it until a server has capacity.
+    pub(super) fn dispatch(&mut self, query: id::Query, part: u32, kind: query::Kind) {
         let Some(server) = self.choose(query, part) else {
             self.fail_part(query, part);
             return;
@@ -28,95 +28,95 @@
             self.fail_part(query, part);
             return;
         }
-        self.wait_at(query, part, server);
+        self.queue_at(query, part, server);
     }
 
     /// Whether an attempt may be sent to `server` now.
     pub(super) fn has_room(&self, server: id::Server) -> bool {
-        !self.is_holding && self.servers[server.index()].has_room(self.now)
+        !self.is_sending_paused && self.servers[server.index()].has_room(self.now)
     }
 
-    fn wait_at(&mut self, query: id::Query, part: u32, server: id::Server) {
-        let Some(row) = self.queries.get_mut(query.0) else {
+    fn queue_at(&mut self, id: id::Query, part: u32, server: id::Server) {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        row.parts[part as usize].is_waiting = true;
-        let priority = usize::from(row.selector().priority).min(view::Class::PRIORITIES - 1);
-        let state = &mut self.servers[server.index()];
-        state.waiting[priority].push_back(server::Wait { query, part });
-        if state.inflight == 0 {
-            self.timers.push(state.ready_at(self.now).max(self.now + clock::Millis(1)), Timer::Pump(server));
+        query.parts[part as usize].is_waiting = true;
+        let priority = usize::from(query.selector().priority).min(view::Class::PRIORITIES - 1);
+        let server_state = &mut self.servers[server.index()];
+        server_state.waiting[priority].push_back(server::Wait { query: id, part });
+        if server_state.inflight == 0 {
+            self.timers.push(server_state.ready_at(self.now).max(self.now + clock::Millis(1)), Timer::Pump(server));
         }
     }
 
-    pub(super) fn send(&mut self, query: id::Query, part: u32, server: id::Server, kind: query::Kind) {
+    pub(super) fn send(&mut self, id: id::Query, part: u32, server: id::Server, kind: query::Kind) {
         let now = self.now;
-        if self.ends_barred(query) {
+        if self.ends_barred(id) {
             return;
         }
         let Some(published) = self.view.server(server) else {
-            self.fail_part(query, part);
+            self.fail_part(id, part);
             return;
         };
         let name = published.name.clone();
         let address = published.address.clone();
         let (is_leaving, is_evacuated) = (published.leaving, published.evacuated);
-        let relayed = self.queries.get(query.0).and_then(|row| self.relayed(row));
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let relayed = self.queries.get(id.0).and_then(|query| self.relayed(query));
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let class = row.class;
-        let view = Arc::clone(&row.view);
-        let selector = &view.classes[row.selector];
-        let is_paid = std::mem::take(&mut row.parts[part as usize].is_paid);
+        let class = query.class;
+        let view = Arc::clone(&query.view);
+        let selector = &view.classes[query.selector];
+        let is_paid = std::mem::take(&mut query.parts[part as usize].is_paid);
         let attempt =
-            query::Attempt { query, part, server, sent: now, kind, class, is_paid, is_relay: relayed.is_some() };
+            query::Attempt { query: id, part, server, sent: now, kind, class, is_paid, is_relay: relayed.is_some() };
         let attempt = id::Attempt(self.attempts.insert(attempt));
         if kind == query::Kind::Retry {
-            self.note_extra(query, part, server, note::Cause::Failure);
+            self.note_extra(id, part, server, note::Cause::Failure);
         }
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
-        state.is_waiting = false;
-        state.note_tried(server);
-        state.add_live(attempt);
+        let part_state = &mut query.parts[part as usize];
+        part_state.is_waiting = false;
+        part_state.note_tried(server);
+        part_state.add_live(attempt);
         match kind {
-            query::Kind::First => row.cost.first += 1,
-            query::Kind::Hedge => row.cost.hedges += 1,
-            query::Kind::Retry => row.cost.retries += 1,
+            query::Kind::First => query.cost.first += 1,
+            query::Kind::Hedge => query.cost.hedges += 1,
+            query::Kind::Retry => query.cost.retries += 1,
         }
         let dispatch = event::Dispatch {
             attempt,
-            query,
-            caller: row.caller,
+            query: id,
+            caller: query.caller,
             server,
             name,
             address,
-            shard: row.target(part).shard.clone(),
-            key: row.key.clone(),
-            deadline: row.deadline,
+            shard: query.target(part).shard.clone(),
+            key: query.key.clone(),
+            deadline: query.deadline,
             epoch: selector.epoch,
-            want: row.want,
+            want: query.want,
             shape: selector.shape,
             relayed,
             idempotent: selector.idempotent,
         };
-        let service = row.target(part).service;
-        let repeats = !selector.idempotent && row.may_have_run;
-        if repeats {
-            let detail = format!("{query} {attempt} after an attempt that may have run");
+        let service = query.target(part).service;
+        let may_run_twice = !selector.idempotent && query.may_have_run;
+        if may_run_twice {
+            let detail = format!("{id} {attempt} after an attempt that may have run");
             self.breach(invariant::Name::AtMostOnce, detail);
         }
         if is_leaving {
-            self.breach(invariant::Name::NoWorkToLeaving, format!("{query} {attempt} to {server}"));
+            self.breach(invariant::Name::NoWorkToLeaving, format!("{id} {attempt} to {server}"));
         }
         if is_evacuated {
-            self.breach(invariant::Name::NoWorkToEvacuated, format!("{query} {attempt} to {server}"));
+            self.breach(invariant::Name::NoWorkToEvacuated, format!("{id} {attempt} to {server}"));
         }
         self.count_attempt(class, service, server, kind);
-        self.note_suspect(query, part, server);
+        self.note_suspect(id, part, server);
         self.outputs.push(event::Output::Dispatch(dispatch));
     }
 
@@ -126,170 +126,176 @@
             query::Kind::Hedge => self.stats.hedges += 1,
             query::Kind::Retry => self.stats.retries += 1,
         }
-        let state = &mut self.servers[server.index()];
-        state.inflight += 1;
-        if !state.warm_up.on_sent(self.now) {
-            self.breach(invariant::Name::BoundedWarmUp, format!("{server} warms up"));
+        let server_state = &mut self.servers[server.index()];
+        server_state.inflight += 1;
+        if !server_state.warm_up.on_sent(self.now) {
+            self.breach(invariant::Name::BoundedWarmUp, format!("{server}: sent beyond the warm-up limit"));
         }
-        let state = &self.servers[server.index()];
-        if state.inflight > state.share {
-            let detail = format!("{server}: {} in flight, share {}", state.inflight, state.share);
+        let server_state = &self.servers[server.index()];
+        if server_state.inflight > server_state.share {
+            let detail = format!("{server}: {} in flight, share {}", server_state.inflight, server_state.share);
             self.breach(invariant::Name::BoundedConnections, detail);
         }
-        let row = &self.classes[class];
-        if row.hedges.holds() && row.retries.holds() && self.fleet.holds(self.now, service) {
+        let class_state = &self.classes[class];
+        if class_state.hedges.holds() && class_state.retries.holds() && self.fleet.holds(self.now, service) {
             return;
         }
-        let detail = format!("{}: {} hedges, {} retries", row.name, row.hedges.spent(), row.retries.spent());
+        let detail = format!(
+            "{}: {} hedges, {} retries",
+            class_state.name,
+            class_state.hedges.spent(),
+            class_state.retries.spent()
+        );
         self.breach(invariant::Name::BoundedExtraLoad, detail);
     }
 
-    /// Frees the attempt's connection and lets the next shard that waits there go.
+    /// Releases an attempt's connection and sends the next attempt that is queued at the server.
     pub(super) fn release(&mut self, server: id::Server) {
-        let state = &mut self.servers[server.index()];
-        state.inflight = state.inflight.saturating_sub(1);
-        if state.waiting_len() > 0 {
-            self.pump(server);
+        let server_state = &mut self.servers[server.index()];
+        server_state.inflight = server_state.inflight.saturating_sub(1);
+        if server_state.waiting_len() > 0 {
+            self.send_waiting(server);
         }
     }
 
-    /// Sends what waits at a server while it has room.
-    pub(super) fn pump(&mut self, server: id::Server) {
+    /// Sends attempts that are queued at a server while it has capacity.
+    pub(super) fn send_waiting(&mut self, server: id::Server) {
         if !self.is_open(server) || self.servers[server.index()].is_barred(self.now) {
             self.requeue(server);
             return;
         }
         while self.has_room(server) {
-            let state = &mut self.servers[server.index()];
-            let Some(wait) = state.waiting.iter_mut().find_map(|queue| queue.pop_front()) else {
+            let server_state = &mut self.servers[server.index()];
+            let Some(wait) = server_state.waiting.iter_mut().find_map(|queue| queue.pop_front()) else {
                 return;
             };
-            if !self.still_waits(wait) {
+            if !self.is_waiting(wait) {
                 continue;
             }
-            let kind = self.kind_of_next(wait);
-            let class = self.queries.get(wait.query.0).map(|row| &row.selector().name);
+            let kind = self.next_kind(wait);
+            let class = self.queries.get(wait.query.0).map(|query| &query.selector().name);
             if class.is_some_and(|class| !self.is_home(class, server)) {
-                self.place(wait.query, wait.part, kind);
+                self.dispatch(wait.query, wait.part, kind);
                 continue;
             }
             self.send(wait.query, wait.part, server, kind);
         }
-        let state = &self.servers[server.index()];
-        if state.inflight == 0 && state.waiting_len() > 0 {
-            let at = state.ready_at(self.now).max(self.now + clock::Millis(1));
+        let server_state = &self.servers[server.index()];
+        if server_state.inflight == 0 && server_state.waiting_len() > 0 {
+            let at = server_state.ready_at(self.now).max(self.now + clock::Millis(1));
             self.timers.push(at, Timer::Pump(server));
         }
     }
 
-    fn still_waits(&self, wait: server::Wait) -> bool {
-        let Some(row) = self.queries.get(wait.query.0) else {
+    fn is_waiting(&self, wait: server::Wait) -> bool {
+        let Some(query) = self.queries.get(wait.query.0) else {
             return false;
         };
-        row.parts.get(wait.part as usize).is_some_and(|part| part.is_waiting)
+        query.parts.get(wait.part as usize).is_some_and(|part| part.is_waiting)
     }
 
-    fn kind_of_next(&self, wait: server::Wait) -> query::Kind {
-        let tries = self.queries.get(wait.query.0).map_or(0, |row| row.parts[wait.part as usize].tries);
+    fn next_kind(&self, wait: server::Wait) -> query::Kind {
+        let tries = self.queries.get(wait.query.0).map_or(0, |query| query.parts[wait.part as usize].tries);
         if tries == 0 { query::Kind::First } else { query::Kind::Retry }
     }
 
-    /// Places again what waits at a server that takes no new work any more.
+    /// Dispatches the attempts queued at a server again, because it no longer accepts new requests.
     pub(super) fn requeue(&mut self, server: id::Server) {
         let waiting = std::mem::take(&mut self.servers[server.index()].waiting);
         for wait in waiting.into_iter().flatten() {
-            if !self.still_waits(wait) {
+            if !self.is_waiting(wait) {
                 continue;
             }
-            let kind = self.kind_of_next(wait);
-            self.place(wait.query, wait.part, kind);
+            let kind = self.next_kind(wait);
+            self.dispatch(wait.query, wait.part, kind);
         }
     }
 
-    /// An attempt failed. `was_not_run` says that this is proved, not assumed.
-    pub(super) fn retry(&mut self, query: id::Query, part: u32, was_not_run: bool, is_free: bool) {
-        let Some(row) = self.queries.get(query.0) else {
+    /// Handles a failed attempt. `is_known_not_run` is set if it is proven that the attempt did not run; `is_free` if
+    /// the retry costs no budget.
+    pub(super) fn retry(&mut self, id: id::Query, part: u32, is_known_not_run: bool, is_free: bool) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        // A trial reaches one server.
-        if row.trial == query::Trial::Granted && row.last.is_none() && !is_free {
-            let code = if was_not_run { event::Code::CrashesServers } else { event::Code::AttemptLost };
-            self.finish_unanswered(query, code, Some(suspect::AFTER_TRIAL));
+        // A trial is sent to one server only.
+        if query.trial == query::Trial::Granted && query.last.is_none() && !is_free {
+            let code = if is_known_not_run { event::Code::CrashesServers } else { event::Code::AttemptLost };
+            self.finish_unanswered(id, code, Some(suspect::AFTER_TRIAL));
             return;
         }
-        let selector = row.selector();
-        let state = row.parts[part as usize];
-        if state.is_pending() || state.has_reply() {
-            self.settle(query);
+        let selector = query.selector();
+        let part_state = query.parts[part as usize];
+        if part_state.is_pending() || part_state.has_reply() {
+            self.settle(id);
             return;
         }
-        // What may crash servers is not sent to a second one after a loss.
-        let is_repeatable = selector.idempotent && !row.is_passed_on && !self.is_suspect(row);
-        let is_allowed = is_repeatable || was_not_run || mutant::is(mutant::Mutant::RetryUnknown);
+        // A request that may crash servers is not sent to a second one after a loss.
+        let is_repeatable = selector.idempotent && !query.is_passed_on && !self.is_suspect(query);
+        let is_allowed = is_repeatable || is_known_not_run || mutant::is(mutant::Mutant::RetryUnknown);
         if !is_allowed {
-            self.finish_unanswered(query, event::Code::AttemptLost, None);
+            self.finish_unanswered(id, event::Code::AttemptLost, None);
             return;
         }
-        let replicas = &row.target(part).replicas;
-        let may_try_more = selector.servers_most.is_none_or(|most| state.servers() < usize::from(most));
-        let has_fresh = may_try_more && replicas.iter().any(|&id| !state.was_tried(id) && self.is_open(id));
-        let is_spent = state.tries >= self.policy.attempts_per_shard;
-        // A host that did nothing is no loss, and this one can gather itself.
-        let is_free = is_free || row.is_passed_on && was_not_run;
-        let is_exhausted = row.is_passed_on && !has_fresh;
-        if is_exhausted && self.gather_here(query) {
+        let replicas = &query.target(part).replicas;
+        let may_try_more = selector.servers_most.is_none_or(|most| part_state.servers() < usize::from(most));
+        let has_untried = may_try_more && replicas.iter().any(|&id| !part_state.was_tried(id) && self.is_open(id));
+        let is_out_of_attempts = part_state.tries >= self.policy.attempts_per_shard;
+        // If the other host did not run the request, the retry is free: this host can gather itself.
+        let is_free = is_free || query.is_passed_on && is_known_not_run;
+        let is_relay_exhausted = query.is_passed_on && !has_untried;
+        if is_relay_exhausted && self.gather_here(id) {
             return;
         }
-        if is_spent {
-            self.fail_part(query, part);
+        if is_out_of_attempts {
+            self.fail_part(id, part);
             return;
         }
-        if !is_free && !self.spend(query, part, query::Kind::Retry) {
-            self.wait_for_budget(query, part, was_not_run);
+        if !is_free && !self.spend(id, part, query::Kind::Retry) {
+            self.wait_for_budget(id, part, is_known_not_run);
             return;
         }
-        if has_fresh {
-            self.place(query, part, query::Kind::Retry);
+        if has_untried {
+            self.dispatch(id, part, query::Kind::Retry);
             return;
         }
-        self.back_off(query, part, state.tries);
+        self.back_off(id, part, part_state.tries);
     }
 
-    fn back_off(&mut self, query: id::Query, part: u32, doublings: u8) {
-        let backoff = BACKOFF.0 << doublings.min(5);
+    fn back_off(&mut self, id: id::Query, part: u32, doublings: u8) {
+        let backoff = INITIAL_BACKOFF.0 << doublings.min(5);
         let jitter = self.random.random_range(0..=backoff);
-        if let Some(row) = self.queries.get_mut(query.0) {
-            row.parts[part as usize].is_waiting = true;
+        if let Some(query) = self.queries.get_mut(id.0) {
+            query.parts[part as usize].is_waiting = true;
         }
-        self.timers.push(self.now + clock::Millis(backoff + jitter), Timer::Retry(query, part));
+        self.timers.push(self.now + clock::Millis(backoff + jitter), Timer::Retry(id, part));
     }
 
-    /// A shard whose server refused it may wait a few times for the budget to fill again; giving it
-    /// up at the first empty budget would waste what its sisters have done for the query. What may
-    /// have run already is given up at once.
-    fn wait_for_budget(&mut self, query: id::Query, part: u32, was_not_run: bool) {
-        let Some(row) = self.queries.get_mut(query.0) else {
+    /// Lets a shard whose attempt did not run wait a few times for the retry budget to refill; failing
+    /// it at the first empty budget would waste the work of the query's other shards. A shard whose
+    /// attempt may have run fails at once.
+    fn wait_for_budget(&mut self, id: id::Query, part: u32, is_known_not_run: bool) {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
-        if !was_not_run || state.waits >= BUDGET_WAITS {
-            self.fail_part(query, part);
+        let part_state = &mut query.parts[part as usize];
+        if !is_known_not_run || part_state.waits >= MAX_BUDGET_WAITS {
+            self.fail_part(id, part);
             return;
         }
-        state.waits += 1;
-        state.needs_budget = true;
-        let doublings = state.waits;
-        self.back_off(query, part, doublings);
+        part_state.waits += 1;
+        part_state.needs_budget = true;
+        let doublings = part_state.waits;
+        self.back_off(id, part, doublings);
     }
 
     /// Takes a token for an extra attempt at a shard from the class's budget and from this host's part
-    /// of the fleet's; from both or from none.
-    pub(super) fn spend(&mut self, query: id::Query, part: u32, kind: query::Kind) -> bool {
-        let Some(row) = self.queries.get(query.0) else {
+    /// of the fleet budget; from both or from neither.
+    pub(super) fn spend(&mut self, id: id::Query, part: u32, kind: query::Kind) -> bool {
+        let Some(query) = self.queries.get(id.0) else {
             return false;
         };
-        let service = row.target(part).service;
-        let class = &mut self.classes[row.class];
+        let service = query.target(part).service;
+        let class = &mut self.classes[query.class];
         let bucket = if kind == query::Kind::Hedge { &mut class.hedges } else { &mut class.retries };
         if mutant::is(mutant::Mutant::UnboundedExtra) && kind != query::Kind::Hedge {
             bucket.force();
@@ -297,45 +303,45 @@
         }
         if self.fleet.has_token(self.now, service) && bucket.spend() {
             self.fleet.spend(self.now, service);
-            // A query that begins anew pays for all its shards before it has their rows again.
-            let row = self.queries.get_mut(query.0);
-            if let Some(state) = row.and_then(|row| row.parts.get_mut(part as usize)) {
-                state.is_paid = true;
+            // A restarted query pays for all its shards before their entries exist again.
+            let query = self.queries.get_mut(id.0);
+            if let Some(part_state) = query.and_then(|query| query.parts.get_mut(part as usize)) {
+                part_state.is_paid = true;
             }
             return true;
         }
         let cause = if kind == query::Kind::Hedge { note::Cause::Silence } else { note::Cause::Failure };
-        let shard = row.target(part).shard.clone();
-        let caller = row.caller;
+        let shard = query.target(part).shard.clone();
+        let caller = query.caller;
         self.note(note::Note::Denied { caller, shard, cause });
         false
     }
 
-    pub(super) fn note_extra(&mut self, query: id::Query, part: u32, server: id::Server, cause: note::Cause) {
-        let Some(row) = self.queries.get(query.0) else {
+    pub(super) fn note_extra(&mut self, id: id::Query, part: u32, server: id::Server, cause: note::Cause) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        let caller = row.caller;
-        let shard = row.target(part).shard.clone();
-        let after = self.now.since(row.arrived);
+        let caller = query.caller;
+        let shard = query.target(part).shard.clone();
+        let after = self.now.since(query.arrived);
         let server = self.server_name(server);
         self.note(note::Note::Extra { caller, shard, server, cause, after });
     }
 
-    pub(super) fn on_backoff_end(&mut self, query: id::Query, part: u32) {
-        if !self.still_waits(server::Wait { query, part }) {
+    pub(super) fn on_backoff_end(&mut self, id: id::Query, part: u32) {
+        if !self.is_waiting(server::Wait { query: id, part }) {
             return;
         }
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
-        state.is_waiting = false;
-        let needs_budget = std::mem::take(&mut state.needs_budget);
-        if needs_budget && !self.spend(query, part, query::Kind::Retry) {
-            self.wait_for_budget(query, part, true);
+        let part_state = &mut query.parts[part as usize];
+        part_state.is_waiting = false;
+        let needs_budget = std::mem::take(&mut part_state.needs_budget);
+        if needs_budget && !self.spend(id, part, query::Kind::Retry) {
+            self.wait_for_budget(id, part, true);
             return;
         }
-        self.place(query, part, query::Kind::Retry);
+        self.dispatch(id, part, query::Kind::Retry);
     }
 }
--- a/crates/core/src/traffic/event.rs
+++ b/crates/core/src/traffic/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a traffic core and what comes out.
+//! Inputs and outputs of a traffic core.
 
 use std::{fmt, sync::Arc};
 
@@ -10,100 +10,100 @@
 
 use super::{note, why};
 
-/// Something that happened outside.
+/// An event for the core to process.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A newer view is in force.
+    /// A newer view took effect.
     View(Arc<view::View>),
-    /// A caller asks.
+    /// A caller sent a request.
     Request(Request),
-    /// A dispatched attempt came to its end.
+    /// A dispatched attempt ended.
     Reply {
-        /// Which attempt.
+        /// The id from its [`Dispatch`].
         attempt: id::Attempt,
-        /// How it ended.
+        /// The result.
         reply: Reply,
     },
-    /// The caller is gone and will not read an answer.
+    /// The caller closed its connection and will not read an answer.
     HangUp(id::Caller),
-    /// What this host does from now on with requests that may crash servers.
+    /// The new policy for requests that may crash servers; replaces the previous one.
     Suspects(Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>),
-    /// A trial that was asked for with [`Output::AskTrial`] may begin.
+    /// A trial requested with [`Output::RequestTrial`] was granted.
     Granted(suspect::Trial),
-    /// What came of [`Output::Probe`].
+    /// The result of [`Output::Probe`].
     Probed {
-        /// Which server.
+        /// The probed server.
         server: id::Server,
-        /// What was found.
-        finding: Finding,
+        /// Whether it accepted the connection.
+        liveness: Liveness,
     },
-    /// Control found the view to be fresh after [`Output::Revalidate`].
+    /// The control core confirmed the view after [`Output::Revalidate`].
     Revalidated,
-    /// Only time passed.
+    /// No event; the step only runs due timers.
     Tick,
 }
 
-/// What a new connection to a server says of it.
+/// The state of a server as determined by opening a connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
-    /// It takes connections.
-    Listens,
-    /// Nobody listens there.
+pub enum Liveness {
+    /// It accepts connections.
+    Listening,
+    /// The connection was refused: no process listens at its address.
     Dead,
-    /// No answer, or no connection to spare.
+    /// The connection attempt had another result, or no connection was available for it.
     Unknown,
 }
 
-/// A caller's request.
+/// A caller's request, without its body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The shell's handle for the answer.
+    /// The shell's handle, to which the answer is sent.
     pub caller: id::Caller,
     /// Name of the selector.
     pub class: CompactString,
-    /// Time that the caller still gives, in ms from now; `None` takes the selector's.
-    pub patience: Option<clock::Millis>,
-    /// The request key. Requests that are not idempotent and share a key run at most once.
+    /// The caller's remaining timeout from now, at most the selector's deadline, which `None` stands for.
+    pub timeout: Option<clock::Millis>,
+    /// The request key. Non-idempotent requests that share a key run at most once.
     pub key: Option<CompactString>,
-    /// Set if another host passed the request on to be gathered here.
+    /// Set if another host relayed the request to be gathered here.
     pub relayed: Option<Relayed>,
-    /// What is asked; `None` if nobody looks whether it crashes servers.
+    /// Fingerprint of the request's content; `None` if crashes are not tracked for it.
     pub fingerprint: Option<suspect::Fingerprint>,
 }
 
-/// What a host that passes a request on says of it.
+/// The parameters that a host sends along with a request that it relays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Relayed {
-    /// Time until an answer should leave although shards are silent, from now.
+    /// Time from now after which the answer is sent without the shards that have not replied.
     pub settle: Option<clock::Millis>,
-    /// The attempt, if its request is suspected and this is a trial that was granted.
+    /// The attempt number of a granted trial; `None` if the request is not a trial.
     pub trial: Option<u64>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The server ran it and its whole answer is here.
+    /// The server ran it and its complete answer was received.
     Answered(Part),
-    /// The server ran it and says that it failed; its answer can be handed on.
+    /// The server ran it and reported a failure, which can be forwarded to the caller.
     Failed,
     /// The server refused it before running it.
     Refused {
-        /// When the server wants to be asked again, from now.
+        /// Time from now after which the server accepts a retry; `None` if it gave none.
         retry_after: Option<clock::Millis>,
     },
-    /// Another server has the address now, and it did not run the request.
+    /// Another server now has the address and did not run the request.
     Misdirected,
-    /// The server knows its key: the request runs or ran before, perhaps through another host.
+    /// The server knows the request key: the request is running or ran, perhaps through another host.
     Duplicate,
-    /// Proof that no byte of it reached the server.
+    /// It is proven that no byte of it reached the server.
     NotSent,
-    /// It may or may not have run.
+    /// No usable reply; the attempt may or may not have run.
     Lost(Loss),
 }
 
 impl Reply {
-    /// The name in logs.
+    /// The name of the result in log lines.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -116,94 +116,94 @@
         }
     }
 
-    /// What is known besides, for logs.
+    /// Further details for log lines, if there are any.
     pub fn detail(&self) -> Option<&'static str> {
         match self {
             Self::Lost(loss) => Some(loss.as_str()),
-            Self::NotSent => Some("no connection could be opened, or it ended before anything was sent"),
+            Self::NotSent => Some("no connection could be opened, or it closed before anything was sent"),
             _ => None,
         }
     }
 }
 
-/// Why nothing is known of an attempt that was sent.
+/// The reason why the result of a sent attempt is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// The connection broke before the whole answer was here.
+    /// The connection broke before the complete answer was received.
     Broken,
-    /// The answer is to another request.
-    Foreign,
-    /// The answer says neither what came of it nor that it did not run.
+    /// The answer belongs to another request.
+    Mismatched,
+    /// The answer contains neither a result nor a statement that the attempt did not run.
     Unusable,
-    /// The server has started anew since, and its life before cannot answer any more.
+    /// The server restarted, so its previous incarnation can no longer answer.
     Restarted,
 }
 
 impl Loss {
-    /// A sentence for logs.
+    /// A description for log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Broken => "the connection broke before the whole answer was here",
-            Self::Foreign => "the answer is to another request",
-            Self::Unusable => "the answer cannot be used",
-            Self::Restarted => "the server has started anew since",
+            Self::Mismatched => "the answer belongs to another request",
+            Self::Unusable => "the answer is invalid",
+            Self::Restarted => "the server restarted before it answered",
         }
     }
 }
 
-/// One shard's answer, without its body, which stays in the shell.
+/// One shard's answer without its body, which the shell keeps.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The snapshot from which it was computed.
+    /// The index snapshot from which it was computed.
     pub snapshot: view::Snapshot,
-    /// Another snapshot that the server still holds.
+    /// Another snapshot that the server still holds, if it reports one.
     pub held: Option<view::Snapshot>,
-    /// Number of hits.
+    /// Number of hits in the answer.
     pub hits: u32,
-    /// Requests that run or wait at the server, as it reports.
+    /// Requests running or queued at the server, if it reports them.
     pub load: Option<u32>,
-    /// Of these, the ones that wait, if it tells.
+    /// The queued ones among these, if it reports them.
     pub queue: Option<u32>,
 }
 
-/// Something for the shell to do, in order.
+/// An action for the shell; actions must be executed in order.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send an attempt to a server.
     Dispatch(Dispatch),
-    /// Give an attempt up and close its connection; a later reply misses.
+    /// Cancel an attempt and close its connection; a later reply is ignored.
     Cancel {
-        /// Which attempt.
+        /// The id from its [`Dispatch`].
         attempt: id::Attempt,
     },
-    /// Send a caller its only answer.
+    /// Send a caller the single answer to its request.
     Answer(Answer),
-    /// The share of a server's connections changed: keep at most this many.
+    /// Limit the connections to a server, because this core's share of them changed.
     Trim {
-        /// Which server.
+        /// The server whose connections are limited.
         server: id::Server,
-        /// Connections to keep, idle ones and those in use.
+        /// Maximum number of connections, idle and in use.
         keep: u32,
     },
-    /// Ask control whether the view still stands.
+    /// Request confirmation from the control core that the view is still current.
     Revalidate,
-    /// A request was lost with a server that then proved to be dead.
+    /// Report a request that was lost at a server that crashed.
     Crashed(suspect::Crash),
-    /// A server answered a request that is suspected.
+    /// Report that a server answered a suspected request.
     Cleared(suspect::Fingerprint),
-    /// Ask whether an attempt of a request that is suspected may be sent; [`Input::Granted`] says that it may.
-    AskTrial(suspect::Trial),
-    /// A trial that was granted has ended and reached no server.
+    /// Request a trial, which permits an attempt of a suspected request; [`Input::Granted`] grants it.
+    RequestTrial(suspect::Trial),
+    /// Report that a granted trial ended without reaching a server.
     TrialUnused(suspect::Trial),
-    /// Open a connection to a server without sending anything, to learn whether it lives. It holds one of this lane's
-    /// connections until [`Input::Probed`].
+    /// Open a connection to a server without sending anything, to check whether it is alive. It occupies one of this
+    /// lane's connections until [`Input::Probed`].
     Probe {
-        /// Which server.
+        /// The server to probe.
         server: id::Server,
         /// Its address, `IP:PORT`.
         address: CompactString,
     },
-    /// Log and count a promise that did not hold.
+    /// Log and count the violation of an invariant.
     Breach(invariant::Breach),
     /// Log a decision.
     Note(note::Note),
@@ -212,51 +212,51 @@
 /// An attempt to send.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// Its id.
+    /// The id for its [`Input::Reply`].
     pub attempt: id::Attempt,
     /// The query that it belongs to.
     pub query: id::Query,
-    /// The caller whose request body goes with it.
+    /// The caller whose request body is sent.
     pub caller: id::Caller,
-    /// Where it goes.
+    /// The destination.
     pub server: id::Server,
-    /// That server's name.
+    /// The destination's name.
     pub name: CompactString,
-    /// That server's address, `IP:PORT`.
+    /// The destination's address, `IP:PORT`.
     pub address: CompactString,
-    /// The shard to ask.
+    /// Name of the requested shard.
     pub shard: CompactString,
-    /// The request key, for the server to refuse a duplicate.
+    /// The request key, by which the server rejects duplicates.
     pub key: Option<CompactString>,
-    /// The instant after which the answer is of no use; the server must not begin later.
+    /// The time after which the answer is useless; the server must not start the request later.
     pub deadline: clock::Millis,
-    /// Partition epoch in which the shard's name is meant.
+    /// Partition epoch to which the shard's name belongs.
     pub epoch: u64,
     /// The snapshot to answer from, if the server still holds it.
     pub want: Option<view::Snapshot>,
-    /// What the answer to the caller is made of.
+    /// The format of the answer to the caller.
     pub shape: view::Shape,
-    /// Set if the server is another host, which is to gather for this one.
+    /// Set if the server is another host that gathers on behalf of this one.
     pub relayed: Option<Relayed>,
-    /// Whether the request may run twice. If not, a connection that may have gone bad while it was
-    /// idle is not worth the risk of an unknown end.
+    /// Whether the request may run twice. If not, connections that have been idle for long are not
+    /// reused: one that has gone stale would risk an unknown outcome.
     pub idempotent: bool,
 }
 
-/// What is known of a request's fate.
+/// Whether a request ran, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran, and the answer is here.
+    /// It ran and was answered.
     Answered,
-    /// It was not run on any shard.
+    /// It did not run on any shard.
     NotRun,
     /// It may have run on some shards.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as in answers, logs and metrics.
+    /// The name of the outcome in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -272,52 +272,52 @@
     }
 }
 
-/// Why a request ended as it did; the stable code in answers, logs and metrics.
+/// The reason for a request's outcome; a stable code in answers, logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
     /// Every shard contributed, or enough hits were found.
     Ok,
-    /// The least coverage was met; some shards are missing.
+    /// The least coverage was met, but some shards are missing.
     Partial,
-    /// No selector has this name, or no route leads there.
+    /// No selector has this name, or no route matches.
     UnknownClass,
-    /// No configuration is known yet.
+    /// The host has no configuration yet.
     Starting,
-    /// The request gives no time at all.
+    /// The request's timeout is too short to do any work.
     DeadlinePassed,
-    /// Too many shards have no server that takes new work.
+    /// Too many shards have no server that accepts new requests.
     NoReplica,
-    /// The class is at its limit, and waiting would not help in time.
+    /// The class is at its limit, and the request could not be served in time if queued.
     Overloaded,
-    /// Its deadline passed while it waited to run.
+    /// Its deadline passed while it was queued.
     Expired,
-    /// The one server that was asked did not answer in time.
+    /// The query has a single shard, whose server did not answer in time.
     TimedOut,
-    /// Fewer shards than the least coverage answered.
+    /// Fewer shards answered than the least coverage requires.
     InsufficientCoverage,
-    /// The shards were cut anew while it ran.
+    /// The data was repartitioned while it ran.
     Repartitioned,
-    /// The process woke from a pause and has not yet confirmed its view.
+    /// The process resumed after a pause, and its view is not yet confirmed.
     Revalidating,
     /// A request with this key is running or ran.
     DuplicateKey,
-    /// Its only attempt came to an unknown end.
+    /// Its only attempt ended with an unknown result.
     AttemptLost,
-    /// The server ran it and failed; its own answer is handed on.
+    /// The server ran it and failed; its own answer is forwarded.
     ServerFailed,
-    /// The host to which it was passed on says nothing.
+    /// The host to which it was relayed did not respond.
     HostSilent,
-    /// It was lost with several servers that died, and is not run but as a trial.
+    /// It was lost with several servers that crashed, and runs only as a trial.
     CrashesServers,
-    /// The caller hung up.
+    /// The caller closed its connection.
     CallerGone,
-    /// A promise would have been broken; the answer was withheld.
+    /// The answer was withheld because it would have violated an invariant.
     Withheld,
 }
 
 impl Code {
-    /// The code as in answers and metrics.
+    /// The name of the code in answers, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ok => "ok",
@@ -342,8 +342,8 @@
         }
     }
 
-    /// One sentence for a person.
-    pub fn sentence(self) -> &'static str {
+    /// A human-readable description, sent to callers.
+    pub fn message(self) -> &'static str {
         match self {
             Self::Ok => "The answer is complete.",
             Self::Partial => "The answer lacks the shards listed as missing.",
@@ -374,48 +374,48 @@
     }
 }
 
-/// The only answer to a request.
+/// The single answer to a request.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Whose it is.
+    /// The caller that it is sent to.
     pub caller: id::Caller,
-    /// The query, if it came to one.
+    /// The query; `None` if the request was refused before it became one.
     pub query: Option<id::Query>,
-    /// The class, as the caller named it.
+    /// The class that the caller requested.
     pub class: CompactString,
-    /// Its fate.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// Why.
+    /// The reason for the outcome.
     pub code: Code,
-    /// What decided it, for the log.
+    /// The inputs of the decision, for the log.
     pub why: why::Why,
-    /// How long after its aim it leaves; `None` if it is in time.
-    pub late: Option<clock::Millis>,
-    /// The one snapshot of all parts; `None` unless answered.
+    /// The time by which it misses its aim; `None` if it meets it.
+    pub lateness: Option<clock::Millis>,
+    /// The snapshot of all contributions; `None` unless answered.
     pub snapshot: Option<view::Snapshot>,
-    /// The shards in the answer, each with the attempt whose body is its part.
+    /// The shards in the answer, each with the attempt whose reply body it uses.
     pub contributed: Vec<(CompactString, id::Attempt)>,
     /// The shards that did not contribute.
     pub missing: Vec<CompactString>,
-    /// What the answer is made of.
+    /// The format of the answer.
     pub shape: view::Shape,
-    /// The attempt whose failure is handed on as the answer.
+    /// The attempt whose failure is forwarded as the answer, if any.
     pub failure: Option<id::Attempt>,
-    /// The host that gathered it, if it was passed on.
+    /// The host that gathered it, if it was relayed.
     pub via: Option<CompactString>,
-    /// When to come back, from now; set on every refusal that may pass.
+    /// Time from now after which to retry; set on every refusal that may be temporary.
     pub retry_after: Option<clock::Millis>,
-    /// What it cost.
+    /// The attempts made for it.
     pub cost: Cost,
 }
 
-/// The attempts made for one query.
+/// The number of attempts made for one query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cost {
-    /// First attempts, one for each shard.
+    /// First attempts, normally one per shard.
     pub first: u32,
-    /// Second replicas asked while the first was silent.
+    /// Attempts at a second replica while the first was silent.
     pub hedges: u32,
-    /// Attempts after a failure or for another snapshot.
+    /// Attempts after a failure, or to get another snapshot.
     pub retries: u32,
 }
--- a/crates/core/src/traffic/finish.rs
+++ b/crates/core/src/traffic/finish.rs
@@ -1,13 +1,13 @@
-//! The end of a query: its one answer, and what is remembered of it.
+//! Query completion: sends the single answer and records the result.
 
 use compact_str::CompactString;
 
 use crate::{clock, id, invariant, mutant, view};
 
-use super::{event, gather::COME_BACK, query, summary, why};
+use super::{event, gather::RETRY_AFTER, query, summary, why};
 
-/// What an answer says.
-struct Ending {
+/// The result of a query.
+struct Completion {
     outcome: event::Outcome,
     code: event::Code,
     why: why::Why,
@@ -18,177 +18,184 @@
 }
 
 impl super::Core {
-    /// Answers with what the best snapshot has.
-    pub(super) fn finish_answered(&mut self, query: id::Query) {
-        let Some(row) = self.queries.get(query.0) else {
+    /// Answers with the replies of the best snapshot.
+    pub(super) fn finish_answered(&mut self, id: id::Query) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        let Some(best) = row.best() else {
+        let Some(best) = query.best() else {
             return;
         };
         let mut contributed = Vec::with_capacity(best.shards);
         let mut missing = Vec::new();
         let mut is_one_snapshot = true;
-        for (part, target) in row.parts.iter().zip(row.targets()) {
-            let got = if mutant::is(mutant::Mutant::MixSnapshots) { part.got[0] } else { part.of(best.snapshot) };
-            let Some(got) = got else {
+        for (part, target) in query.parts.iter().zip(query.targets()) {
+            let reply = if mutant::is(mutant::Mutant::MixSnapshots) { part.got[0] } else { part.of(best.snapshot) };
+            let Some(reply) = reply else {
                 missing.push(target.shard.clone());
                 continue;
             };
-            is_one_snapshot &= got.snapshot == best.snapshot;
-            contributed.push((target.shard.clone(), got.attempt));
+            is_one_snapshot &= reply.snapshot == best.snapshot;
+            contributed.push((target.shard.clone(), reply.attempt));
         }
         if mutant::is(mutant::Mutant::CountSilent) {
             missing.clear();
         }
         if !is_one_snapshot {
-            self.breach(invariant::Name::OneSnapshot, format!("{query}: not all of {}", best.snapshot));
+            self.breach(
+                invariant::Name::OneSnapshot,
+                format!("{id}: not all replies are of snapshot {}", best.snapshot),
+            );
         }
-        let is_true = contributed.len() + missing.len() == self.queries.get(query.0).map_or(0, |row| row.parts.len());
-        if !is_true {
-            let detail = format!("{query}: {} in, {} missing", contributed.len(), missing.len());
+        let is_coverage_true =
+            contributed.len() + missing.len() == self.queries.get(id.0).map_or(0, |query| query.parts.len());
+        if !is_coverage_true {
+            let detail = format!("{id}: {} shards contributed, {} missing", contributed.len(), missing.len());
             self.breach(invariant::Name::TrueCoverage, detail);
         }
-        let is_sound = is_one_snapshot && is_true;
-        if !is_sound && !mutant::is_any() {
-            self.finish_unanswered(query, event::Code::Withheld, Some(COME_BACK));
+        let is_valid = is_one_snapshot && is_coverage_true;
+        if !is_valid && !mutant::is_any() {
+            self.finish_unanswered(id, event::Code::Withheld, Some(RETRY_AFTER));
             return;
         }
         let code = if missing.is_empty() { event::Code::Ok } else { event::Code::Partial };
         let (outcome, snapshot) = (event::Outcome::Answered, Some(best.snapshot));
         let why = why::Why::Plain;
-        self.end(query, Ending { outcome, code, why, retry_after: None, snapshot, contributed, missing });
+        self.complete(id, Completion { outcome, code, why, retry_after: None, snapshot, contributed, missing });
     }
 
-    /// Ends a query without an answer. It counts as not run only if nothing was dispatched, or each
-    /// attempt was proved not to have run.
+    /// Ends a query without an answer. The outcome is `NotRun` only if nothing was dispatched, or
+    /// each attempt is proven not to have run.
     pub(super) fn finish_unanswered(
         &mut self,
         query: id::Query,
         code: event::Code,
         retry_after: Option<clock::Millis>,
     ) {
-        self.finish_because(query, code, retry_after, why::Why::Plain);
+        self.finish_with_reason(query, code, retry_after, why::Why::Plain);
     }
 
-    /// Like [`Self::finish_unanswered`], with what decided it.
-    pub(super) fn finish_because(
+    /// Like [`Self::finish_unanswered`], with the reason for the log.
+    pub(super) fn finish_with_reason(
         &mut self,
-        query: id::Query,
+        id: id::Query,
         code: event::Code,
         retry_after: Option<clock::Millis>,
         why: why::Why,
     ) {
-        let Some(row) = self.queries.get(query.0) else {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        let is_live = row.parts.iter().any(|part| part.live_count() > 0);
-        let may_have_run = row.may_have_run || is_live;
+        let is_live = query.parts.iter().any(|part| part.live_count() > 0);
+        let may_have_run = query.may_have_run || is_live;
         let is_not_run = !may_have_run || mutant::is(mutant::Mutant::AssumeNotRun);
         let outcome = if is_not_run { event::Outcome::NotRun } else { event::Outcome::Unknown };
-        let is_handed_on = row.failure.is_some() && row.shape() == view::Shape::Whole;
-        let code = if is_handed_on { event::Code::ServerFailed } else { code };
-        let missing = row.targets().iter().map(|target| target.shard.clone()).collect();
-        self.end(query, Ending { outcome, code, why, retry_after, snapshot: None, contributed: Vec::new(), missing });
+        let is_forwarded = query.failure.is_some() && query.shape() == view::Shape::Whole;
+        let code = if is_forwarded { event::Code::ServerFailed } else { code };
+        let missing = query.targets().iter().map(|target| target.shard.clone()).collect();
+        self.complete(
+            id,
+            Completion { outcome, code, why, retry_after, snapshot: None, contributed: Vec::new(), missing },
+        );
     }
 
-    fn end(&mut self, query: id::Query, ending: Ending) {
-        let Ending { outcome, code, mut why, retry_after, snapshot, contributed, missing } = ending;
-        let mut late = None;
-        if let Some(row) = self.queries.get(query.0) {
-            late = self.late(row).filter(|_| outcome == event::Outcome::Answered);
-            if why == why::Why::Plain && (code != event::Code::Ok || late.is_some()) {
-                why = self.waited_for(row);
+    fn complete(&mut self, id: id::Query, completion: Completion) {
+        let Completion { outcome, code, mut why, retry_after, snapshot, contributed, missing } = completion;
+        let mut lateness = None;
+        if let Some(query) = self.queries.get(id.0) {
+            lateness = self.lateness(query).filter(|_| outcome == event::Outcome::Answered);
+            if why == why::Why::Plain && (code != event::Code::Ok || lateness.is_some()) {
+                why = self.wait_reason(query);
             }
         }
-        let Some(row) = self.queries.remove(query.0) else {
+        let Some(query) = self.queries.remove(id.0) else {
             return;
         };
-        if self.callers.swap_remove(&row.caller) != Some(query) {
-            self.breach(invariant::Name::OwnWholeAnswer, format!("{query}: {:?} has no such query", row.caller));
+        if self.callers.swap_remove(&query.caller) != Some(id) {
+            self.breach(invariant::Name::OwnWholeAnswer, format!("{id}: not the query of {:?}", query.caller));
         }
-        self.end_trial(&row);
-        for attempt in row.parts.iter().flat_map(|part| part.live).flatten() {
-            if outcome != event::Outcome::Answered && row.last.is_none() {
-                self.note_abandoned(&row, attempt);
+        self.end_trial(&query);
+        for attempt in query.parts.iter().flat_map(|part| part.live).flatten() {
+            if outcome != event::Outcome::Answered && query.last.is_none() {
+                self.note_abandoned(&query, attempt);
             }
             self.cancel(attempt);
         }
-        self.remember_key(&row, outcome);
-        self.end_run(&row, outcome);
-        self.summarise(query, &row, outcome, code, &missing);
+        self.remember_key(&query, outcome);
+        self.record_run(&query, outcome);
+        self.record_summary(id, &query, outcome, code, &missing);
         self.outputs.push(event::Output::Answer(event::Answer {
-            caller: row.caller,
-            query: Some(query),
-            class: self.classes[row.class].name.clone(),
+            caller: query.caller,
+            query: Some(id),
+            class: self.classes[query.class].name.clone(),
             outcome,
             code,
             why,
-            late,
+            lateness,
             snapshot,
             contributed,
             missing,
-            shape: row.shape(),
-            via: row.via.clone(),
-            failure: row.failure.filter(|_| code == event::Code::ServerFailed),
+            shape: query.shape(),
+            via: query.via.clone(),
+            failure: query.failure.filter(|_| code == event::Code::ServerFailed),
             retry_after,
-            cost: row.cost,
+            cost: query.cost,
         }));
     }
 
-    fn remember_key(&mut self, row: &query::Query, outcome: event::Outcome) {
-        let Some(key) = &row.key else {
+    fn remember_key(&mut self, query: &query::Query, outcome: event::Outcome) {
+        let Some(key) = &query.key else {
             return;
         };
-        if row.selector().idempotent {
+        if query.selector().idempotent {
             return;
         }
         let until = self.now + self.policy.key_window;
         self.keys.end(key, (outcome != event::Outcome::NotRun).then_some(until));
     }
 
-    fn end_run(&mut self, row: &query::Query, outcome: event::Outcome) {
-        let Some(started) = row.started else {
+    fn record_run(&mut self, query: &query::Query, outcome: event::Outcome) {
+        let Some(started) = query.started else {
             return;
         };
         let took = self.now.since(started);
-        let selector = row.selector();
-        let usual = selector.settle.unwrap_or(selector.deadline);
-        let target = selector.aim.unwrap_or_else(|| usual.scale(self.policy.latency_target.get()));
-        let is_good = outcome == event::Outcome::Answered && took <= target;
-        let class = &mut self.classes[row.class];
+        let selector = query.selector();
+        let time_limit = selector.settle.unwrap_or(selector.deadline);
+        let target = selector.aim.unwrap_or_else(|| time_limit.scale(self.policy.latency_target.get()));
+        let is_within_target = outcome == event::Outcome::Answered && took <= target;
+        let class = &mut self.classes[query.class];
         class.running = class.running.saturating_sub(1);
-        class.on_end(self.now, took, is_good, self.policy.running_ceiling);
+        class.on_end(self.now, took, is_within_target, self.policy.running_ceiling);
     }
 
-    /// How long after its aim an answer that leaves now is.
-    fn late(&self, row: &query::Query) -> Option<clock::Millis> {
-        row.selector().aim?;
-        let aim = row.settle_at? + self.policy.aim_margin;
+    /// The time by which an answer sent now misses its aim; `None` if it meets it or has none.
+    fn lateness(&self, query: &query::Query) -> Option<clock::Millis> {
+        query.selector().aim?;
+        let aim = query.settle_at? + self.policy.aim_margin;
         (self.now > aim).then(|| self.now.since(aim))
     }
 
-    /// What an answer still waits for, or waited for last.
-    fn waited_for(&self, row: &query::Query) -> why::Why {
-        let silent = self.silent(row);
+    /// The shards that an answer still waits for, or else the last one that replied.
+    fn wait_reason(&self, query: &query::Query) -> why::Why {
+        let silent = self.silent_shards(query);
         if !silent.is_empty() {
             return why::Why::Silent(silent);
         }
-        let Some((part, server, sent)) = row.last else {
+        let Some((part, server, sent)) = query.last else {
             return why::Why::Plain;
         };
         why::Why::Last {
-            shard: row.target(part).shard.clone(),
-            server: row.view.server(server).map(|server| server.name.clone()).unwrap_or_default(),
-            sent: sent.since(row.arrived),
+            shard: query.target(part).shard.clone(),
+            server: query.view.server(server).map(|server| server.name.clone()).unwrap_or_default(),
+            sent: sent.since(query.arrived),
             took: self.now.since(sent),
         }
     }
 
-    /// The shards whose part is not in an answer and did not fail: who is waited for, and since when.
-    fn silent(&self, row: &query::Query) -> Vec<why::Silent> {
+    /// The shards that still wait for a reply, with the server and for how long.
+    fn silent_shards(&self, query: &query::Query) -> Vec<why::Silent> {
         let mut silent = Vec::new();
-        for (part, target) in row.parts.iter().zip(row.targets()) {
+        for (part, target) in query.parts.iter().zip(query.targets()) {
             if part.has_reply() {
                 continue;
             }
@@ -197,8 +204,8 @@
             if first.is_none() && !part.is_waiting {
                 continue;
             }
-            let server = first.and_then(|attempt| row.view.server(attempt.server)).map(|server| server.name.clone());
-            let since = first.map_or(row.arrived, |attempt| attempt.sent);
+            let server = first.and_then(|attempt| query.view.server(attempt.server)).map(|server| server.name.clone());
+            let since = first.map_or(query.arrived, |attempt| attempt.sent);
             silent.push(why::Silent {
                 shard: target.shard.clone(),
                 server: server.unwrap_or_default(),
@@ -208,29 +215,29 @@
         silent
     }
 
-    fn summarise(
+    fn record_summary(
         &mut self,
-        query: id::Query,
-        row: &query::Query,
+        id: id::Query,
+        query: &query::Query,
         outcome: event::Outcome,
         code: event::Code,
         missing: &[CompactString],
     ) {
         let mut tried = Vec::new();
-        for (part, target) in row.parts.iter().zip(row.targets()) {
+        for (part, target) in query.parts.iter().zip(query.targets()) {
             if !missing.contains(&target.shard) {
                 continue;
             }
-            let names = part.tried.iter().flatten().filter_map(|&id| row.view.server(id));
+            let names = part.tried.iter().flatten().filter_map(|&id| query.view.server(id));
             tried.push((target.shard.clone(), names.map(|server| server.name.clone()).collect()));
         }
         self.recent.push(summary::Summary {
-            query,
-            class: self.classes[row.class].name.clone(),
+            query: id,
+            class: self.classes[query.class].name.clone(),
             outcome,
             code,
-            took: self.now.since(row.arrived),
-            cost: row.cost,
+            took: self.now.since(query.arrived),
+            cost: query.cost,
             missing: tried,
         });
     }
--- a/crates/core/src/traffic/gather.rs
+++ b/crates/core/src/traffic/gather.rs
@@ -1,4 +1,4 @@
-//! Gathering: replies become one answer of one snapshot with its true coverage.
+//! Gathering: combines replies of one snapshot into one answer with its actual coverage.
 
 use std::sync::Arc;
 
@@ -6,236 +6,236 @@
 
 use super::{event, note, query, server, timer::Timer};
 
-/// Most times that a query begins anew because the shards were cut anew.
-const RESTARTS: u8 = 2;
-/// When to come back after an answer that lacked shards.
-pub(super) const COME_BACK: clock::Millis = clock::Millis(250);
+/// Maximum number of restarts of a query because the data was repartitioned.
+const MAX_RESTARTS: u8 = 2;
+/// Retry delay after a refusal for lack of shards.
+pub(super) const RETRY_AFTER: clock::Millis = clock::Millis(250);
 
 impl super::Core {
-    pub(super) fn on_reply(&mut self, attempt: id::Attempt, reply: event::Reply) {
-        // A reply of an attempt that was given up, or of another life of the row, misses here.
-        let Some(row) = self.attempts.remove(attempt.0) else {
+    pub(super) fn on_reply(&mut self, id: id::Attempt, reply: event::Reply) {
+        // The attempt was cancelled, or its table slot now belongs to another one.
+        let Some(attempt) = self.attempts.remove(id.0) else {
             self.stats.late += 1;
             return;
         };
-        if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].remove_live(attempt);
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
+            query.parts[attempt.part as usize].remove_live(id);
         }
         let is_broken = reply == event::Reply::Lost(event::Loss::Broken);
-        let is_other = matches!(reply, event::Reply::NotSent | event::Reply::Misdirected);
-        if !is_other && !is_broken {
-            self.servers[row.server.index()].losses.clear();
+        let is_undelivered = matches!(reply, event::Reply::NotSent | event::Reply::Misdirected);
+        if !is_undelivered && !is_broken {
+            self.servers[attempt.server.index()].losses.clear();
         }
         if reply != event::Reply::NotSent {
-            self.servers[row.server.index()].on_word(self.now);
+            self.servers[attempt.server.index()].on_word(self.now);
         }
         match reply {
-            event::Reply::Answered(part) => self.on_part(attempt, row, part),
-            event::Reply::Failed => self.on_failed(attempt, row),
-            event::Reply::Refused { retry_after } => self.on_refused(row, retry_after),
-            event::Reply::Misdirected => self.on_misdirected(row),
-            event::Reply::Duplicate => self.on_duplicate(row),
-            event::Reply::NotSent => self.on_not_sent(row),
-            event::Reply::Lost(loss) => self.on_lost(row, loss),
+            event::Reply::Answered(part) => self.on_answered(id, attempt, part),
+            event::Reply::Failed => self.on_failed(id, attempt),
+            event::Reply::Refused { retry_after } => self.on_refused(attempt, retry_after),
+            event::Reply::Misdirected => self.on_misdirected(attempt),
+            event::Reply::Duplicate => self.on_duplicate(attempt),
+            event::Reply::NotSent => self.on_not_sent(attempt),
+            event::Reply::Lost(loss) => self.on_lost(attempt, loss),
         }
     }
 
-    fn on_part(&mut self, attempt: id::Attempt, row: query::Attempt, part: event::Part) {
-        let took = self.now.since(row.sent);
-        let was_out = self.servers[row.server.index()].is_ejected(self.now);
-        if self.servers[row.server.index()].was_ejected() {
-            self.note(note::Note::Restored { server: self.server_name(row.server) });
-        }
-        let usual = self.classes[row.class].usual_attempt(row.is_relay);
-        let state = &mut self.servers[row.server.index()];
-        state.on_answer(self.now, took, usual, &part);
-        state.holds = [Some(part.snapshot), part.held];
-        self.ejected = self.ejected.saturating_sub(usize::from(was_out));
-        self.release(row.server);
-        let class = row.class;
-        if row.is_relay {
+    fn on_answered(&mut self, id: id::Attempt, attempt: query::Attempt, answer: event::Part) {
+        let took = self.now.since(attempt.sent);
+        let is_still_ejected = self.servers[attempt.server.index()].is_ejected(self.now);
+        if self.servers[attempt.server.index()].was_ejected() {
+            self.note(note::Note::Restored { server: self.server_name(attempt.server) });
+        }
+        let usual = self.classes[attempt.class].usual_attempt(attempt.is_relay);
+        let state = &mut self.servers[attempt.server.index()];
+        state.on_answer(self.now, took, usual, &answer);
+        state.holds = [Some(answer.snapshot), answer.held];
+        self.ejected = self.ejected.saturating_sub(usize::from(is_still_ejected));
+        self.release(attempt.server);
+        let class = attempt.class;
+        if attempt.is_relay {
             self.classes[class].relays.record(took);
         } else {
             self.classes[class].attempts.record(took);
         }
-        let via = row.is_relay.then(|| self.server_name(row.server));
-        self.note_survivor(row.query);
-        let Some(query) = self.queries.get_mut(row.query.0) else {
+        let via = attempt.is_relay.then(|| self.server_name(attempt.server));
+        self.note_survivor(attempt.query);
+        let Some(query) = self.queries.get_mut(attempt.query.0) else {
             return;
         };
         query.may_have_run = true;
         let is_canary = std::mem::take(&mut query.is_canary);
-        query.last = Some((row.part, row.server, row.sent));
+        query.last = Some((attempt.part, attempt.server, attempt.sent));
         query.via = via;
         let epoch = query.selector().epoch;
-        if part.snapshot.epoch != epoch {
-            query.saw_epoch = Some(part.snapshot.epoch);
-            self.on_other_epoch(row.query, row.part);
+        if answer.snapshot.epoch != epoch {
+            query.saw_epoch = Some(answer.snapshot.epoch);
+            self.on_epoch_mismatch(attempt.query, attempt.part);
             return;
         }
-        let got = query::Got { snapshot: part.snapshot, attempt, hits: part.hits };
-        query.file(row.part as usize, got);
+        let reply = query::Got { snapshot: answer.snapshot, attempt: id, hits: answer.hits };
+        query.file(attempt.part as usize, reply);
         let is_mixed = query.groups.len() > 1;
         if is_mixed {
             self.note_rolling(class);
         }
-        self.cancel_siblings(row.query, row.part, part.snapshot);
+        self.cancel_siblings(attempt.query, attempt.part, answer.snapshot);
         if is_canary {
-            self.place_from(row.query, row.part + 1);
-            if let Some(query) = self.queries.get_mut(row.query.0) {
+            self.dispatch_from(attempt.query, attempt.part + 1);
+            if let Some(query) = self.queries.get_mut(attempt.query.0) {
                 query.is_placing = false;
             }
         }
-        self.settle(row.query);
+        self.settle(attempt.query);
     }
 
-    /// Gives up the other live attempts of a shard that has its reply.
-    fn cancel_siblings(&mut self, query: id::Query, part: u32, snapshot: view::Snapshot) {
-        let Some(row) = self.queries.get_mut(query.0) else {
+    /// Cancels the other live attempts of a shard that has its reply.
+    fn cancel_siblings(&mut self, id: id::Query, part: u32, snapshot: view::Snapshot) {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        if row.want.is_some_and(|want| want != snapshot) {
+        if query.want.is_some_and(|want| want != snapshot) {
             return;
         }
-        let live = std::mem::take(&mut row.parts[part as usize].live);
+        let live = std::mem::take(&mut query.parts[part as usize].live);
         for attempt in live.into_iter().flatten() {
             self.cancel(attempt);
         }
     }
 
-    /// Nobody needs the attempt any more: ends it at once, with its connection, so that the server drops
-    /// it. A new connection takes 1 to 6 ms of a slot, what was asked for takes 10 to 30 ms. Letting
-    /// attempts run on for up to 300 ms saved connections and lost slots: where searches take 28 ms, answers
-    /// within the aim times the square of their coverage came to 0.848 of all requests in place of 0.877
-    /// (15 runs of 34 s with faults, the same seeds), and to the same where they take 11 or 15 ms.
-    pub(super) fn cancel(&mut self, attempt: id::Attempt) {
-        let Some(row) = self.attempts.remove(attempt.0) else {
+    /// Cancels an attempt that is no longer needed and closes its connection, so that the server drops the
+    /// request. A new connection costs 1 to 6 ms of a slot, the request itself 10 to 30 ms. Letting cancelled
+    /// attempts run for up to 300 ms saved connections but cost slots: with searches of 28 ms, answers within
+    /// the aim, weighted by the square of their coverage, fell from 0.877 to 0.848 of all requests (15 runs of
+    /// 34 s with faults, same seeds); with searches of 11 or 15 ms there was no difference.
+    pub(super) fn cancel(&mut self, id: id::Attempt) {
+        let Some(attempt) = self.attempts.remove(id.0) else {
             return;
         };
-        let took = self.now.since(row.sent);
-        let usual = self.classes[row.class].usual_attempt(row.is_relay);
-        self.servers[row.server.index()].on_silence(self.now, took, usual);
-        self.outputs.push(event::Output::Cancel { attempt });
-        self.timers.push(self.now + self.policy.close_lag, Timer::Closed(row.server));
+        let took = self.now.since(attempt.sent);
+        let usual = self.classes[attempt.class].usual_attempt(attempt.is_relay);
+        self.servers[attempt.server.index()].on_silence(self.now, took, usual);
+        self.outputs.push(event::Output::Cancel { attempt: id });
+        self.timers.push(self.now + self.policy.close_lag, Timer::Closed(attempt.server));
     }
 
-    fn note_failed(&mut self, row: query::Attempt, end: event::Reply) {
-        let caller = self.queries.get(row.query.0).map(|query| query.caller);
-        let server = self.server_name(row.server);
-        let took = self.now.since(row.sent);
+    fn note_failed(&mut self, attempt: query::Attempt, end: event::Reply) {
+        let caller = self.queries.get(attempt.query.0).map(|query| query.caller);
+        let server = self.server_name(attempt.server);
+        let took = self.now.since(attempt.sent);
         self.note(note::Note::Failed { caller, server, end, took });
     }
 
-    /// The server ran the request and failed. Another one may do better; what may run once has run.
-    fn on_failed(&mut self, attempt: id::Attempt, row: query::Attempt) {
+    /// Handles a request that the server ran and failed: retries it at another replica unless it may run only once.
+    fn on_failed(&mut self, id: id::Attempt, attempt: query::Attempt) {
         self.stats.lost += 1;
-        self.note_failed(row, event::Reply::Failed);
-        if let Some(query) = self.queries.get_mut(row.query.0) {
+        self.note_failed(attempt, event::Reply::Failed);
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.may_have_run = true;
-            query.failure = Some(attempt);
+            query.failure = Some(id);
         }
-        // Another host did what could be done; its failure to gather says nothing of the host itself.
-        if row.is_relay {
-            self.release(row.server);
-            self.finish_unanswered(row.query, event::Code::ServerFailed, None);
+        // A relay that failed to gather does not count as a failure of that host, and is not retried.
+        if attempt.is_relay {
+            self.release(attempt.server);
+            self.finish_unanswered(attempt.query, event::Code::ServerFailed, None);
             return;
         }
-        self.note_failure(row.server);
-        self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.note_failure(attempt.server);
+        self.release(attempt.server);
+        self.retry(attempt.query, attempt.part, false, false);
     }
 
-    /// The server that was meant is gone, and another one has its address.
-    fn on_misdirected(&mut self, row: query::Attempt) {
+    /// Handles a reply from another server that now has the intended server's address.
+    fn on_misdirected(&mut self, attempt: query::Attempt) {
         self.stats.refused += 1;
-        self.note_failed(row, event::Reply::Misdirected);
-        self.note_end(row.server);
-        // The reply to a request sent before the address changed says nothing about the current address.
-        let state = &mut self.servers[row.server.index()];
-        state.is_replaced |= row.sent > state.address_since;
-        self.release(row.server);
-        self.requeue(row.server);
-        self.retry(row.query, row.part, true, false);
+        self.note_failed(attempt, event::Reply::Misdirected);
+        self.note_end(attempt.server);
+        // A reply to a request sent before the address changed does not apply to the current address.
+        let server_state = &mut self.servers[attempt.server.index()];
+        server_state.is_replaced |= attempt.sent > server_state.address_since;
+        self.release(attempt.server);
+        self.requeue(attempt.server);
+        self.retry(attempt.query, attempt.part, true, false);
     }
 
-    fn on_refused(&mut self, row: query::Attempt, retry_after: Option<clock::Millis>) {
+    fn on_refused(&mut self, attempt: query::Attempt, retry_after: Option<clock::Millis>) {
         self.stats.refused += 1;
-        self.note_failed(row, event::Reply::Refused { retry_after });
-        self.servers[row.server.index()].on_shed(self.now, retry_after);
-        self.release(row.server);
-        self.retry(row.query, row.part, true, false);
+        self.note_failed(attempt, event::Reply::Refused { retry_after });
+        self.servers[attempt.server.index()].on_shed(self.now, retry_after);
+        self.release(attempt.server);
+        self.retry(attempt.query, attempt.part, true, false);
     }
 
-    /// This attempt did not run, but one with its key did, so the request is not "not run".
-    fn on_duplicate(&mut self, row: query::Attempt) {
-        if let Some(query) = self.queries.get_mut(row.query.0) {
+    /// This attempt did not run, but another one with its key did or does, so the outcome must not be `NotRun`.
+    fn on_duplicate(&mut self, attempt: query::Attempt) {
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.may_have_run = true;
         }
-        self.release(row.server);
-        self.finish_unanswered(row.query, event::Code::DuplicateKey, None);
+        self.release(attempt.server);
+        self.finish_unanswered(attempt.query, event::Code::DuplicateKey, None);
     }
 
-    fn on_not_sent(&mut self, row: query::Attempt) {
+    fn on_not_sent(&mut self, attempt: query::Attempt) {
         self.stats.not_sent += 1;
-        self.note_failed(row, event::Reply::NotSent);
-        self.note_end(row.server);
-        self.refund(row);
-        self.note_failure(row.server);
-        self.release(row.server);
-        self.retry(row.query, row.part, true, true);
+        self.note_failed(attempt, event::Reply::NotSent);
+        self.note_end(attempt.server);
+        self.refund(attempt);
+        self.note_failure(attempt.server);
+        self.release(attempt.server);
+        self.retry(attempt.query, attempt.part, true, true);
     }
 
-    /// The attempt never reached a server, so it was no load.
-    fn refund(&mut self, row: query::Attempt) {
-        let class = row.class;
-        let Some(query) = self.queries.get(row.query.0) else {
+    /// Returns the tokens of an attempt that never reached a server and so caused no load.
+    fn refund(&mut self, attempt: query::Attempt) {
+        let class = attempt.class;
+        let Some(query) = self.queries.get(attempt.query.0) else {
             return;
         };
-        let service = query.target(row.part).service;
-        if row.kind == query::Kind::Hedge {
+        let service = query.target(attempt.part).service;
+        if attempt.kind == query::Kind::Hedge {
             self.classes[class].hedges.refund();
         }
-        if row.is_paid {
+        if attempt.is_paid {
             self.fleet.refund(self.now, service);
         }
-        if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].note_unsent(row.server);
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
+            query.parts[attempt.part as usize].note_unsent(attempt.server);
         }
     }
 
-    fn on_lost(&mut self, row: query::Attempt, loss: event::Loss) {
+    fn on_lost(&mut self, attempt: query::Attempt, loss: event::Loss) {
         self.stats.lost += 1;
-        self.note_failed(row, event::Reply::Lost(loss));
+        self.note_failed(attempt, event::Reply::Lost(loss));
         if loss == event::Loss::Broken {
-            self.note_loss(&row);
+            self.note_loss(&attempt);
         }
-        if let Some(query) = self.queries.get_mut(row.query.0) {
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.may_have_run = true;
         }
-        self.note_failure(row.server);
-        self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.note_failure(attempt.server);
+        self.release(attempt.server);
+        self.retry(attempt.query, attempt.part, false, false);
     }
 
-    /// The server of an attempt started anew, which says nothing bad of its new life.
-    pub(super) fn on_restarted(&mut self, attempt: id::Attempt) {
-        let Some(row) = self.attempts.remove(attempt.0) else {
+    /// Ends an attempt whose server restarted. It does not count as a failure of the new incarnation.
+    pub(super) fn on_restarted(&mut self, id: id::Attempt) {
+        let Some(attempt) = self.attempts.remove(id.0) else {
             return;
         };
         self.stats.lost += 1;
-        self.note_failed(row, event::Reply::Lost(event::Loss::Restarted));
-        if let Some(query) = self.queries.get_mut(row.query.0) {
-            query.parts[row.part as usize].remove_live(attempt);
+        self.note_failed(attempt, event::Reply::Lost(event::Loss::Restarted));
+        if let Some(query) = self.queries.get_mut(attempt.query.0) {
+            query.parts[attempt.part as usize].remove_live(id);
             query.may_have_run = true;
         }
-        self.release(row.server);
-        self.retry(row.query, row.part, false, false);
+        self.release(attempt.server);
+        self.retry(attempt.query, attempt.part, false, false);
     }
 
     fn note_failure(&mut self, server: id::Server) {
-        let must_go = self.servers[server.index()].on_failure(self.now, &self.policy);
-        let is_out = self.servers[server.index()].is_ejected(self.now);
-        if !must_go || is_out {
+        let should_eject = self.servers[server.index()].on_failure(self.now, &self.policy);
+        let is_ejected = self.servers[server.index()].is_ejected(self.now);
+        if !should_eject || is_ejected {
             return;
         }
         self.ejected = self.servers.iter().filter(|state| state.is_ejected(self.now)).count();
@@ -251,222 +251,228 @@
         self.requeue(server);
     }
 
-    /// The server cut its data anew. Shards of two epochs are never put together: the query begins
-    /// again if the new cut is already in force here, and fails otherwise.
-    fn on_other_epoch(&mut self, query: id::Query, part: u32) {
-        let Some(row) = self.queries.get(query.0) else {
+    /// Handles a reply of another partition epoch. Shards of two epochs are never combined: an idempotent query
+    /// restarts if the new epoch is already in force here. Otherwise the shard is retried, or the query fails if
+    /// it may run only once.
+    fn on_epoch_mismatch(&mut self, id: id::Query, part: u32) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        let selector = row.selector();
-        let seen = row.saw_epoch.unwrap_or_default();
-        let is_in_force =
-            self.view.classes.get(&selector.name).is_some_and(|class| class.epoch == seen && seen > selector.epoch);
-        if is_in_force && selector.idempotent && row.restarts < RESTARTS {
-            self.restart(query);
+        let selector = query.selector();
+        let reply_epoch = query.saw_epoch.unwrap_or_default();
+        let is_in_force = self
+            .view
+            .classes
+            .get(&selector.name)
+            .is_some_and(|class| class.epoch == reply_epoch && reply_epoch > selector.epoch);
+        if is_in_force && selector.idempotent && query.restarts < MAX_RESTARTS {
+            self.restart(id);
             return;
         }
         if !selector.idempotent {
-            self.finish_unanswered(query, event::Code::Repartitioned, Some(COME_BACK));
+            self.finish_unanswered(id, event::Code::Repartitioned, Some(RETRY_AFTER));
             return;
         }
-        self.retry(query, part, false, false);
+        self.retry(id, part, false, false);
     }
 
-    fn restart(&mut self, query: id::Query) {
-        let Some(row) = self.queries.get_mut(query.0) else {
+    fn restart(&mut self, id: id::Query) {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        row.restarts += 1;
-        row.may_have_run = true;
-        let parts = std::mem::take(&mut row.parts);
+        query.restarts += 1;
+        query.may_have_run = true;
+        let parts = std::mem::take(&mut query.parts);
         self.stats.restarts += 1;
         for attempt in parts.iter().flat_map(|part| part.live).flatten() {
             self.cancel(attempt);
         }
         for part in 0..parts.len() as u32 {
-            if !self.spend(query, part, query::Kind::Retry) {
-                self.finish_unanswered(query, event::Code::Repartitioned, Some(COME_BACK));
+            if !self.spend(id, part, query::Kind::Retry) {
+                self.finish_unanswered(id, event::Code::Repartitioned, Some(RETRY_AFTER));
                 return;
             }
         }
-        self.begin(query);
+        self.send_first_attempts(id);
     }
 
-    /// A shard is given up. The query ends at once when the rest cannot meet the least coverage.
-    pub(super) fn fail_part(&mut self, query: id::Query, part: u32) {
-        let Some(row) = self.queries.get_mut(query.0) else {
+    /// Marks a shard as failed. The query ends at once if the rest cannot meet the least coverage.
+    pub(super) fn fail_part(&mut self, id: id::Query, part: u32) {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        if row.is_passed_on && row.parts[part as usize].live_count() == 0 && self.gather_here(query) {
+        if query.is_passed_on && query.parts[part as usize].live_count() == 0 && self.gather_here(id) {
             return;
         }
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let state = &mut row.parts[part as usize];
-        state.is_waiting = false;
-        if state.is_failed || state.has_reply() {
-            self.settle(query);
+        let part_state = &mut query.parts[part as usize];
+        part_state.is_waiting = false;
+        if part_state.is_failed || part_state.has_reply() {
+            self.settle(id);
             return;
         }
-        state.is_failed = true;
-        row.failed += 1;
-        let total = row.parts.len();
-        let reachable = total - row.failed;
-        let goes_on = row.is_canary && (part as usize) + 1 < total;
-        if !row.selector().least_coverage.is_met(reachable, total) {
-            let code = self.shortfall(query);
-            self.finish_unanswered(query, code, Some(COME_BACK));
+        part_state.is_failed = true;
+        query.failed += 1;
+        let total = query.parts.len();
+        let reachable = total - query.failed;
+        let has_more_shards = query.is_canary && (part as usize) + 1 < total;
+        if !query.selector().least_coverage.is_met(reachable, total) {
+            let code = self.shortfall_code(id);
+            self.finish_unanswered(id, code, Some(RETRY_AFTER));
             return;
         }
-        if goes_on {
-            self.place(query, part + 1, query::Kind::First);
+        if has_more_shards {
+            self.dispatch(id, part + 1, query::Kind::First);
             return;
         }
-        self.settle(query);
+        self.settle(id);
     }
 
-    fn shortfall(&self, query: id::Query) -> event::Code {
-        let saw_epoch = self.queries.get(query.0).is_some_and(|row| row.saw_epoch.is_some());
+    fn shortfall_code(&self, id: id::Query) -> event::Code {
+        let saw_epoch = self.queries.get(id.0).is_some_and(|query| query.saw_epoch.is_some());
         if saw_epoch { event::Code::Repartitioned } else { event::Code::InsufficientCoverage }
     }
 
-    /// Looks whether the query can be answered now, and asks again where snapshots differ.
-    pub(super) fn settle(&mut self, query: id::Query) {
-        let Some(row) = self.queries.get(query.0) else {
+    /// Answers the query if it can be answered now, and requests shards again whose snapshots differ.
+    pub(super) fn settle(&mut self, id: id::Query) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        if row.started.is_none() || row.is_placing {
+        if query.started.is_none() || query.is_placing {
             return;
         }
-        let selector = row.selector();
-        let total = row.parts.len();
-        let best = row.best();
+        let selector = query.selector();
+        let total = query.parts.len();
+        let best = query.best();
         let shards = best.map_or(0, |group| group.shards);
         let is_enough = shards > 0 && selector.least_coverage.is_met(shards, total);
         let has_hits = best.zip(selector.enough_hits).is_some_and(|(group, enough)| group.hits >= enough);
-        let is_time = row.settle_at.is_some_and(|settle_at| self.now >= settle_at);
+        let is_settle_due = query.settle_at.is_some_and(|settle_at| self.now >= settle_at);
         if total > 0 && shards == total {
-            self.finish_answered(query);
+            self.finish_answered(id);
             return;
         }
-        if is_enough && (has_hits || is_time) {
-            self.finish_answered(query);
+        if is_enough && (has_hits || is_settle_due) {
+            self.finish_answered(id);
             return;
         }
-        if row.groups.len() > 1 && self.policy.reask {
-            self.reask(query);
+        if query.groups.len() > 1 && self.policy.reask {
+            self.reask(id);
         }
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        if row.is_pending() {
+        if query.is_pending() {
             return;
         }
         if is_enough {
-            self.finish_answered(query);
+            self.finish_answered(id);
             return;
         }
-        let code = self.shortfall(query);
-        self.finish_unanswered(query, code, Some(COME_BACK));
+        let code = self.shortfall_code(id);
+        self.finish_unanswered(id, code, Some(RETRY_AFTER));
     }
 
-    /// Replies are of several snapshots: takes the snapshot that can reach most shards, and asks
-    /// just the shards that answered from another one again, at a replica that holds it.
-    fn reask(&mut self, query: id::Query) {
-        let Some(target) = self.best_reachable(query) else {
+    /// Resolves replies of several snapshots: selects the snapshot that can cover most shards, and requests
+    /// the shards that answered from another one again, at a replica that holds it.
+    fn reask(&mut self, id: id::Query) {
+        let Some(target) = self.most_reachable_snapshot(id) else {
             return;
         };
-        let Some(row) = self.queries.get_mut(query.0) else {
+        let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        if row.want != Some(target) {
-            row.want = Some(target);
+        if query.want != Some(target) {
+            query.want = Some(target);
             self.stats.mixed += 1;
         }
-        for part in 0..row.parts.len() as u32 {
-            let Some(server) = self.reask_server(query, part, target) else {
+        for part in 0..query.parts.len() as u32 {
+            let Some(server) = self.reask_server(id, part, target) else {
                 continue;
             };
             if !self.has_room(server) {
                 continue;
             }
-            if !self.spend(query, part, query::Kind::Retry) {
+            if !self.spend(id, part, query::Kind::Retry) {
                 return;
             }
-            self.send(query, part, server, query::Kind::Retry);
+            self.send(id, part, server, query::Kind::Retry);
         }
     }
 
-    /// A replica that holds `target`, if the shard answered from another snapshot and is not being
-    /// asked.
-    fn reask_server(&self, query: id::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
-        let row = self.queries.get(query.0)?;
-        let state = row.parts[part as usize];
-        if !state.has_reply() || state.of(target).is_some() || state.is_pending() {
+    /// A replica that holds `target`, if the shard answered from another snapshot and has no pending
+    /// attempt.
+    fn reask_server(&self, id: id::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
+        let query = self.queries.get(id.0)?;
+        let part_state = query.parts[part as usize];
+        if !part_state.has_reply() || part_state.of(target).is_some() || part_state.is_pending() {
             return None;
         }
-        if state.tries >= self.policy.attempts_per_shard {
+        if part_state.tries >= self.policy.attempts_per_shard {
             return None;
         }
-        self.holder(row, part, target)
+        self.find_holder(query, part, target)
     }
 
-    fn holder(&self, row: &query::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
-        let replicas = &row.target(part).replicas;
+    fn find_holder(&self, query: &query::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
+        let replicas = &query.target(part).replicas;
         let mut holders = replicas.iter().copied().filter(|&id| {
             self.is_open(id)
-                && self.is_home(&row.selector().name, id)
+                && self.is_home(&query.selector().name, id)
                 && self.servers[id.index()].holds(target)
                 && !self.servers[id.index()].is_ejected(self.now)
         });
         holders.next()
     }
 
-    /// The snapshot that most shards gave or can still give; the newest of equals.
-    fn best_reachable(&self, query: id::Query) -> Option<view::Snapshot> {
-        let row = self.queries.get(query.0)?;
+    /// The snapshot that most shards replied from or still can; on a tie, the one with most replies, then the newest.
+    fn most_reachable_snapshot(&self, id: id::Query) -> Option<view::Snapshot> {
+        let query = self.queries.get(id.0)?;
         let mut best: Option<(usize, usize, view::Snapshot)> = None;
-        for group in &row.groups {
-            let mut reach = group.shards;
-            for (part, state) in row.parts.iter().enumerate() {
-                if state.of(group.snapshot).is_some() {
+        for group in &query.groups {
+            let mut shard_count = group.shards;
+            for (part, part_state) in query.parts.iter().enumerate() {
+                if part_state.of(group.snapshot).is_some() {
                     continue;
                 }
-                let may_come = state.is_pending() || self.holder(row, part as u32, group.snapshot).is_some();
-                reach += usize::from(may_come);
+                let is_attainable =
+                    part_state.is_pending() || self.find_holder(query, part as u32, group.snapshot).is_some();
+                shard_count += usize::from(is_attainable);
             }
-            let candidate = (reach, group.shards, group.snapshot);
-            if best.is_none_or(|held| candidate > held) {
+            let candidate = (shard_count, group.shards, group.snapshot);
+            if best.is_none_or(|current| candidate > current) {
                 best = Some(candidate);
             }
         }
         best.map(|(.., snapshot)| snapshot)
     }
 
-    pub(super) fn on_deadline(&mut self, query: id::Query) {
-        let Some(row) = self.queries.get(query.0) else {
+    pub(super) fn on_deadline(&mut self, id: id::Query) {
+        let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        if row.started.is_none() {
-            let retry_after = self.classes[row.class].retry_after();
-            self.finish_unanswered(query, event::Code::Expired, Some(retry_after));
+        if query.started.is_none() {
+            let retry_after = self.classes[query.class].retry_after();
+            self.finish_unanswered(id, event::Code::Expired, Some(retry_after));
             return;
         }
-        let shards = row.best().map_or(0, |group| group.shards);
-        if shards > 0 && row.selector().least_coverage.is_met(shards, row.parts.len()) {
-            self.finish_answered(query);
+        let shards = query.best().map_or(0, |group| group.shards);
+        if shards > 0 && query.selector().least_coverage.is_met(shards, query.parts.len()) {
+            self.finish_answered(id);
             return;
         }
-        let is_one = row.parts.len() == 1;
-        let code = if is_one { event::Code::TimedOut } else { self.shortfall(query) };
-        let retry_after = self.classes[row.class].retry_after();
-        self.finish_unanswered(query, code, Some(retry_after.max(COME_BACK)));
+        let is_single_shard = query.parts.len() == 1;
+        let code = if is_single_shard { event::Code::TimedOut } else { self.shortfall_code(id) };
+        let retry_after = self.classes[query.class].retry_after();
+        self.finish_unanswered(id, code, Some(retry_after.max(RETRY_AFTER)));
     }
 
-    /// The views that queries in flight still pin, for the tests of memory.
+    /// Number of distinct views that queries in flight keep alive; used by memory tests.
     pub fn pinned_views(&self) -> usize {
-        let mut views: Vec<*const view::View> = self.queries.iter().map(|(_, row)| Arc::as_ptr(&row.view)).collect();
+        let mut views: Vec<*const view::View> =
+            self.queries.iter().map(|(_, query)| Arc::as_ptr(&query.view)).collect();
         views.sort_unstable();
         views.dedup();
         views.len()
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -1,13 +1,13 @@
-//! The traffic core: from a caller's request to its one answer.
+//! The traffic core: processes each caller's request up to its single answer.
 //!
 //! [`Core::step`] takes a batch of inputs and runs the systems over the tables in one fixed order:
-//! pause guard, timers, inputs, admission. Outputs are collected in the order in which the shell
-//! must carry them out. A view that leads the batch is taken before the timers. One core serves one
-//! traffic thread and shares nothing with another.
+//! pause detection, timers, inputs, admission. Outputs are collected in the order in which the shell
+//! must execute them. Views at the head of the batch are applied before the timers. One core serves
+//! one traffic thread and shares no state with others.
 //!
-//! The systems stand in modules of their own: [`admit`] (limits and refusals), [`choose`] (which
-//! replica), [`dispatch`] (sending, queues at servers, retries), [`warm_up`] (servers that have just
-//! started), [`suspect`] (requests that crash servers), [`hedge`] (silence) and [`gather`] (snapshots,
+//! Each system has its own module: [`admit`] (limits and refusals), [`choose`] (replica selection),
+//! [`dispatch`] (sending, per-server queues, retries), [`warm_up`] (servers that have just started),
+//! [`suspect`] (requests that crash servers), [`hedge`] (silent attempts) and [`gather`] (snapshots,
 //! coverage, answers).
 
 mod admit;
@@ -43,26 +43,26 @@
 use event::{Input, Output};
 use timer::Timer;
 
-/// Which of a host's traffic cores this is; the host's share of connections is cut among them.
+/// The position of one traffic core among those of its host, which split the host's connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Lane {
-    /// From zero.
+    /// Zero-based index.
     pub index: u32,
-    /// Traffic cores on this host.
+    /// Number of traffic cores on this host.
     pub count: u32,
 }
 
 impl Lane {
-    /// This lane's part of a host's `share` of the connections to `server`. The remainder moves
-    /// with the server's index, so that no lane is always the one left without.
-    fn part(self, share: u32, server: id::Server) -> u32 {
+    /// This lane's part of a host's `share` of the connections to `server`. The remainder rotates
+    /// with the server's index, so that no lane always gets the smaller part.
+    fn connection_share(self, share: u32, server: id::Server) -> u32 {
         let count = self.count.max(1);
-        let place = (self.index + server.0) % count;
-        share / count + u32::from(place < share % count)
+        let offset = (self.index + server.0) % count;
+        share / count + u32::from(offset < share % count)
     }
 }
 
-/// The decisions of one traffic thread.
+/// The state and decision logic of one traffic thread.
 #[derive(Debug)]
 pub struct Core {
     policy: policy::Policy,
@@ -79,21 +79,21 @@
     keys: key::Memory,
     suspects: suspect::Suspects,
     answered: suspect::Answered,
-    /// Queries that are trials or ask for one, by what they ask.
+    /// Queries that run as a trial or wait for the grant of one, by request fingerprint.
     trials: IndexMap<crate::suspect::Fingerprint, id::Query>,
     fleet: fleet::Fleet,
     ejected: usize,
-    /// Set from a pause until control confirmed the view.
+    /// Set from a process pause until the control core confirms the view.
     paused_at: Option<clock::Millis>,
-    /// Set from a pause until its grace is over or control confirmed the view: nothing is sent.
-    is_holding: bool,
+    /// Set from a process pause until the grace period ends or the control core confirms the view.
+    is_sending_paused: bool,
     outputs: Vec<Output>,
     stats: summary::Stats,
     recent: summary::Ring,
 }
 
 impl Core {
-    /// A core with an empty view, at the instant `now`.
+    /// Creates a core with an empty view at time `now`.
     pub fn new(policy: policy::Policy, lane: Lane, seed: u64, now: clock::Millis) -> Self {
         let fleet = fleet::Fleet::new(policy.fleet);
         Self {
@@ -115,14 +115,14 @@
             fleet,
             ejected: 0,
             paused_at: None,
-            is_holding: false,
+            is_sending_paused: false,
             outputs: Vec::new(),
             stats: summary::Stats::default(),
             recent: summary::Ring::default(),
         }
     }
 
-    /// Runs the systems once. `now` must not be earlier than in the step before.
+    /// Runs the systems once. `now` must not be earlier than in the previous step.
     pub fn step(&mut self, now: clock::Millis, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         let is_pause = self.is_pause(now);
         let gap = now.since(self.now);
@@ -131,20 +131,20 @@
             self.on_pause(gap);
         }
         let mut inputs = inputs.into_iter().peekable();
-        // A view goes before the timers: a hedge or retry that is due in this very step would
-        // otherwise still go by the old view, to a server whose leaving mark is in the new one.
+        // Views are applied before the timers: a hedge or retry that is due in this step would
+        // otherwise use the old view and might go to a server that the new view marks as leaving.
         while let Some(view) = inputs.next_if(|input| matches!(input, Input::View(_))) {
-            self.take(view);
+            self.apply(view);
         }
         self.run_timers();
         for input in inputs {
-            self.take(input);
+            self.apply(input);
         }
         self.admit_waiting();
         std::mem::take(&mut self.outputs)
     }
 
-    /// When the core must be stepped again at the latest, if nothing else happens.
+    /// The latest time of the next step if no input arrives; `None` without pending timers.
     pub fn next_timer(&self) -> Option<clock::Millis> {
         self.timers.next()
     }
@@ -154,7 +154,7 @@
         &self.view
     }
 
-    /// Counters since the start.
+    /// Counters since the core was created, with the current table sizes.
     pub fn stats(&self) -> summary::Stats {
         summary::Stats {
             queries: self.queries.len(),
@@ -167,40 +167,40 @@
         }
     }
 
-    /// Number of servers in the view that get no new work because another server was found at their address.
+    /// Number of servers in the view that get no new work because another server answered at their address.
     fn count_replaced(&self) -> usize {
         let in_view = self.servers.iter().zip(&self.view.servers).filter(|(_, published)| published.is_some());
         in_view.filter(|(server, _)| server.is_replaced).count()
     }
 
-    /// Whether `query` has no answer yet.
+    /// Whether `query` is still unanswered.
     pub fn is_live(&self, query: id::Query) -> bool {
         self.queries.get(query.0).is_some()
     }
 
-    /// The summary of a query that ended lately, by id.
+    /// The summary of a recently completed query; `None` if it is not among those kept.
     pub fn summary(&self, query: id::Query) -> Option<&summary::Summary> {
         self.recent.find(query)
     }
 
-    /// Queries that run at once and the limit on them, by class.
+    /// Name, running queries, concurrency limit and queue length of each class.
     pub fn admission(&self) -> impl Iterator<Item = (&str, u32, u32, usize)> {
-        self.classes.values().map(|row| (row.name.as_str(), row.running, row.limit(), row.queue.len()))
+        self.classes.values().map(|class| (class.name.as_str(), class.running, class.limit(), class.queue.len()))
     }
 
-    /// A gap between steps means that the process was stopped.
+    /// Whether the time since the previous step shows that the process was stopped.
     fn is_pause(&self, now: clock::Millis) -> bool {
         let has_view = self.view.stamp != view::Stamp::default();
         has_view && now.since(self.now) >= self.policy.pause && !mutant::is(mutant::Mutant::IgnorePause)
     }
 
-    /// What expired meanwhile ends first, before a retry or hedge that was due earlier than the
-    /// deadline could still send it. Nothing at all is sent on the old view until control confirmed
-    /// it or the grace is over.
+    /// Ends the queries that expired during the pause first, because a retry or hedge that was due
+    /// before their deadline would still be sent. Nothing is sent on the old view until the control
+    /// core confirms it or the grace period ends.
     fn on_pause(&mut self, gap: clock::Millis) {
         self.stats.pauses += 1;
         self.paused_at = Some(self.now);
-        self.is_holding = true;
+        self.is_sending_paused = true;
         let mut expired = Vec::new();
         for (key, query) in self.queries.iter() {
             if query.deadline <= self.now {
@@ -222,7 +222,7 @@
                 Timer::Settle(query) => self.settle(query),
                 Timer::Hedge(query) => self.hedge(query),
                 Timer::Retry(query, part) => self.on_backoff_end(query, part),
-                Timer::Pump(server) => self.pump(server),
+                Timer::Pump(server) => self.send_waiting(server),
                 Timer::Closed(server) => self.release(server),
                 Timer::Trial(query) => self.on_trial_refused(query),
                 Timer::Probe(server) => self.send_probe(server),
@@ -232,7 +232,7 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn apply(&mut self, input: Input) {
         match input {
             Input::View(view) => self.on_view(view),
             Input::Request(request) => self.on_request(request),
@@ -241,7 +241,7 @@
             Input::Revalidated => self.on_revalidated(),
             Input::Suspects(suspects) => self.on_suspects(suspects),
             Input::Granted(trial) => self.on_granted(trial),
-            Input::Probed { server, finding } => self.on_probed(server, finding),
+            Input::Probed { server, liveness } => self.on_probed(server, liveness),
             Input::Tick => {}
         }
     }
@@ -249,24 +249,24 @@
     fn on_view(&mut self, view: Arc<view::View>) {
         let is_older = (view.stamp, view.hosts_revision) < (self.view.stamp, self.view.hosts_revision);
         if is_older {
-            let detail = format!("view {} after {}", view.stamp, self.view.stamp);
+            let detail = format!("received view {} after {}", view.stamp, self.view.stamp);
             self.breach(invariant::Name::ConfigMonotonic, detail);
             return;
         }
         self.clear_replaced(&view);
         self.view = view;
-        let usual = 1.0 / f64::from(self.view.hosts.max(1));
-        self.fleet.set_parts(self.now, usual, &self.view.parts, self.lane.count.max(1));
+        let equal_part = 1.0 / f64::from(self.view.hosts.max(1));
+        self.fleet.set_parts(self.now, equal_part, &self.view.parts, self.lane.count.max(1));
         self.servers.resize_with(self.view.servers.len().max(self.servers.len()), Default::default);
-        let mut reborn = Vec::new();
+        let mut restarted = Vec::new();
         for index in 0..self.servers.len() {
             let server = id::Server(index as u32);
             if self.refresh_server(server) {
-                reborn.push(server);
+                restarted.push(server);
             }
         }
-        for server in reborn {
-            self.end_life(server);
+        for server in restarted {
+            self.fail_lost_attempts(server);
         }
         let servers = self.view.servers.iter().flatten().count();
         let leaving = self.view.servers.iter().flatten().filter(|server| server.leaving).count();
@@ -275,59 +275,59 @@
     }
 
     /// Clears `is_replaced` for servers whose address in `view` differs from the one in the current view, or that `view`
-    /// no longer lists. A misdirected reply concerns only the address that it came from.
+    /// no longer lists. A misdirected reply applies only to the address that it came from.
     fn clear_replaced(&mut self, view: &view::View) {
-        for (index, row) in self.servers.iter_mut().enumerate() {
+        for (index, state) in self.servers.iter_mut().enumerate() {
             let server = id::Server(index as u32);
             let before = self.view.server(server).map(|published| &published.address);
             let after = view.server(server).map(|published| &published.address);
             if before != after {
-                row.is_replaced = false;
-                row.address_since = self.now;
+                state.is_replaced = false;
+                state.address_since = self.now;
             }
         }
     }
 
-    /// Takes what the view in force says of a server. `true` if it has started anew.
+    /// Updates a server's state from the view in force. Returns `true` if the server has restarted.
     fn refresh_server(&mut self, id: id::Server) -> bool {
         self.note_restart(id);
-        let row = &mut self.servers[id.index()];
+        let state = &mut self.servers[id.index()];
         let Some(published) = self.view.server(id) else {
-            row.share = 0;
-            row.warm_up = warm_up::WarmUp::default();
+            state.share = 0;
+            state.warm_up = warm_up::WarmUp::default();
             self.outputs.push(Output::Trim { server: id, keep: 0 });
             self.requeue(id);
             return false;
         };
-        let share = self.lane.part(published.share(self.view.hosts), id);
-        let is_changed = share != row.share;
-        row.share = share;
-        row.slots = published.slots.max(1);
-        let is_reborn = row.incarnation != published.incarnation;
-        if is_reborn {
-            row.restart(published.incarnation);
-            // Connections to its life before lead nowhere.
+        let share = self.lane.connection_share(published.share(self.view.hosts), id);
+        let is_changed = share != state.share;
+        state.share = share;
+        state.slots = published.slots.max(1);
+        let has_restarted = state.incarnation != published.incarnation;
+        if has_restarted {
+            state.restart(published.incarnation);
+            // Connections to the previous incarnation are dead.
             self.outputs.push(Output::Trim { server: id, keep: 0 });
         }
-        if is_changed || is_reborn {
+        if is_changed || has_restarted {
             self.outputs.push(Output::Trim { server: id, keep: share });
         }
-        let is_back = row.set_evacuated(published.evacuated);
-        row.warm_up.take(self.now, published.warm_up.as_ref(), is_back);
-        // One lane holds the right to send for the whole host.
-        let holds = id.0 % self.lane.count.max(1) == self.lane.index;
-        if row.warm_up.is_cold(self.now) {
-            let bound = published.warm_up.filter(|_| holds);
-            row.warm_up.set_pause(bound.and_then(|bound| self.view.warm_up_pause(&published.name, &bound)));
+        let is_reopened = state.set_evacuated(published.evacuated);
+        state.warm_up.take(self.now, published.warm_up.as_ref(), is_reopened);
+        // A single lane sends the host's requests to a server that warms up.
+        let is_sender = id.0 % self.lane.count.max(1) == self.lane.index;
+        if state.warm_up.is_cold(self.now) {
+            let bound = published.warm_up.filter(|_| is_sender);
+            state.warm_up.set_pause(bound.and_then(|bound| self.view.warm_up_pause(&published.name, &bound)));
         }
         if !published.is_open() || self.servers[id.index()].is_barred(self.now) {
             self.requeue(id);
         }
-        self.pump(id);
-        is_reborn
+        self.send_waiting(id);
+        has_restarted
     }
 
-    /// A server that is gone from the view, or lives anew, died of what was lost there a moment ago, if anything was.
+    /// Attributes the end of a server that left the view or restarted to the requests recently lost there, if any.
     fn note_restart(&mut self, id: id::Server) {
         let before = self.servers[id.index()].incarnation;
         let is_over = self.view.server(id).is_none_or(|published| published.incarnation != before);
@@ -338,13 +338,17 @@
         }
     }
 
-    /// What is in flight at a server's life before will not be answered: other replicas are asked at once, and
-    /// callers whose request may run only once are told, who would else wait for their deadline.
-    fn end_life(&mut self, server: id::Server) {
-        let lost: Vec<id::Attempt> =
-            self.attempts.iter().filter(|(_, row)| row.server == server).map(|(key, _)| id::Attempt(key)).collect();
+    /// Ends the attempts in flight at a server's previous incarnation, which can no longer answer. Idempotent
+    /// requests are retried at other replicas at once; for others the caller gets an error before its deadline.
+    fn fail_lost_attempts(&mut self, server: id::Server) {
+        let lost: Vec<id::Attempt> = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.server == server)
+            .map(|(key, _)| id::Attempt(key))
+            .collect();
         for attempt in lost {
-            // The end of another one may have ended its query.
+            // Ending a previous attempt may have ended this one's query.
             if self.attempts.get(attempt.0).is_none() {
                 continue;
             }
@@ -369,7 +373,7 @@
         self.outputs.push(Output::Note(note));
     }
 
-    /// The name of a server, for logs.
+    /// The name of a server for log messages; empty if the view does not list it.
     fn server_name(&self, server: id::Server) -> CompactString {
         self.view.server(server).map(|server| server.name.clone()).unwrap_or_default()
     }
--- a/crates/core/src/traffic/relay.rs
+++ b/crates/core/src/traffic/relay.rs
@@ -82,7 +82,7 @@
             return false;
         };
         row.is_passed_on = false;
-        self.begin(query);
+        self.send_first_attempts(query);
         true
     }
 }
--- a/crates/core/src/traffic/suspect.rs
+++ b/crates/core/src/traffic/suspect.rs
@@ -179,7 +179,7 @@
         self.trials.retain(|_, query| queries.get(query.0).is_some());
         self.trials.insert(fingerprint, query);
         self.timers.push(self.now + GRANT_MOST, Timer::Trial(query));
-        self.outputs.push(event::Output::AskTrial(suspect::Trial { fingerprint, attempt }));
+        self.outputs.push(event::Output::RequestTrial(suspect::Trial { fingerprint, attempt }));
     }
 
     /// Control counted a trial: its query begins, if it still waits.
@@ -245,7 +245,7 @@
         let code = if may_have_run { event::Code::AttemptLost } else { event::Code::CrashesServers };
         let standing = self.standing(fingerprint);
         let left = standing.map_or(AFTER_TRIAL, |standing| self.come_back(standing));
-        self.finish_because(query, code, Some(left), why::Why::Crashes { fingerprint, left });
+        self.finish_with_reason(query, code, Some(left), why::Why::Crashes { fingerprint, left });
     }
 
     /// An attempt of `query` goes to `server`.
@@ -312,16 +312,16 @@
         self.outputs.push(event::Output::Probe { server, address });
     }
 
-    pub(super) fn on_probed(&mut self, server: id::Server, finding: event::Finding) {
+    pub(super) fn on_probed(&mut self, server: id::Server, liveness: event::Liveness) {
         let state = &mut self.servers[server.index()];
         if !matches!(state.probe, Probe::Sent(_)) {
             return;
         }
         state.probe = Probe::None;
-        match finding {
-            event::Finding::Listens => state.losses.clear(),
-            event::Finding::Dead => self.note_end(server),
-            event::Finding::Unknown => {}
+        match liveness {
+            event::Liveness::Listening => state.losses.clear(),
+            event::Liveness::Dead => self.note_end(server),
+            event::Liveness::Unknown => {}
         }
         self.release(server);
     }
@@ -329,7 +329,7 @@
     pub(super) fn on_probe_end(&mut self, server: id::Server) {
         let is_over = |at: clock::Millis| self.now.since(at) >= PROBE_MOST;
         if matches!(self.servers[server.index()].probe, Probe::Sent(at) if is_over(at)) {
-            self.on_probed(server, event::Finding::Unknown);
+            self.on_probed(server, event::Liveness::Unknown);
         }
     }
 
--- a/crates/core/tests/driver/world.rs
+++ b/crates/core/tests/driver/world.rs
@@ -275,8 +275,14 @@
         let key = has_key.then(|| format_compact!("{host}-{life}-{number}"));
         let patience = self.random.random_bool(0.2).then(|| clock::Millis(self.random.random_range(0..400)));
         let class = CompactString::const_new(class);
-        let request =
-            event::Request { caller: id::Caller(caller), class, patience, key, relayed: None, fingerprint: None };
+        let request = event::Request {
+            caller: id::Caller(caller),
+            class,
+            timeout: patience,
+            key,
+            relayed: None,
+            fingerprint: None,
+        };
         let happening = Happening::Traffic { host, life, input: event::Input::Request(request) };
         self.at(self.now, happening);
     }
@@ -307,7 +313,7 @@
             event::Output::Cleared(fingerprint) => {
                 self.at(self.now, Happening::Control { host, life, input: control::Input::Cleared(fingerprint) });
             }
-            event::Output::AskTrial(trial) => {
+            event::Output::RequestTrial(trial) => {
                 self.at(self.now, Happening::Control { host, life, input: control::Input::AskTrial(trial) });
             }
             event::Output::TrialUnused(trial) => {
--- a/crates/core/tests/held.rs
+++ b/crates/core/tests/held.rs
@@ -107,7 +107,7 @@
 
 fn asked_trial(outputs: &[event::Output]) -> Option<Trial> {
     outputs.iter().find_map(|output| match output {
-        event::Output::AskTrial(trial) => Some(*trial),
+        event::Output::RequestTrial(trial) => Some(*trial),
         _ => None,
     })
 }
@@ -259,10 +259,10 @@
 
 /// A server is dead and nobody else asks it: a connection that is refused proves it.
 #[rstest]
-#[case::dead(event::Finding::Dead, 1)]
-#[case::alive(event::Finding::Listens, 0)]
-#[case::unknown(event::Finding::Unknown, 0)]
-fn a_connection_proves_that_a_server_died(#[case] finding: event::Finding, #[case] crashes: usize) {
+#[case::dead(event::Liveness::Dead, 1)]
+#[case::alive(event::Liveness::Listening, 0)]
+#[case::unknown(event::Liveness::Unknown, 0)]
+fn a_connection_proves_that_a_server_died(#[case] liveness: event::Liveness, #[case] crashes: usize) {
     let mut view = view(1, 8);
     view.classes[0].idempotent = false;
     let mut host = Host::new(view);
@@ -273,7 +273,7 @@
         event::Output::Probe { server, .. } => Some(*server),
         _ => None,
     });
-    let outputs = host.step(event::Input::Probed { server: probed.expect("a probe"), finding });
+    let outputs = host.step(event::Input::Probed { server: probed.expect("a probe"), liveness });
     assert_eq!(crashed(&outputs).len(), crashes);
 }
 
@@ -340,7 +340,7 @@
         host.reply(attempts[0], event::Reply::Lost(event::Loss::Broken));
         for output in host.wait(50) {
             if let event::Output::Probe { server, .. } = output {
-                deaths.extend(crashed(&host.step(event::Input::Probed { server, finding: event::Finding::Dead })));
+                deaths.extend(crashed(&host.step(event::Input::Probed { server, liveness: event::Liveness::Dead })));
             }
         }
     }
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -187,7 +187,7 @@
     let request = event::Request {
         caller: id::Caller(now),
         class: class.into(),
-        patience: None,
+        timeout: None,
         key: None,
         relayed: None,
         fingerprint: None,
--- a/crates/core/tests/killers.rs
+++ b/crates/core/tests/killers.rs
@@ -163,7 +163,7 @@
                         self.tables[host].answer(now, fingerprint);
                         inputs.push(self.standings(host));
                     }
-                    event::Output::AskTrial(trial) => {
+                    event::Output::RequestTrial(trial) => {
                         // The first host grants all trials, and hosts hear of them at once.
                         if !self.tables[0].grant(now, trial) {
                             continue;
@@ -179,8 +179,8 @@
                     }
                     event::Output::Probe { server, .. } => {
                         let is_down = self.leafs[server.index()].down_until > self.now;
-                        let finding = if is_down { event::Finding::Dead } else { event::Finding::Listens };
-                        inputs.push(event::Input::Probed { server, finding });
+                        let liveness = if is_down { event::Liveness::Dead } else { event::Liveness::Listening };
+                        inputs.push(event::Input::Probed { server, liveness });
                     }
                     event::Output::Breach(breach) => self.breaches.push(format!("{breach:?}")),
                     _ => {}
@@ -355,7 +355,7 @@
     core.step(clock::Millis(2), [event::Input::Suspects(Arc::new(suspects))]);
     let outputs = core.step(clock::Millis(3), [event::Input::Request(request)]);
     let asked = outputs.iter().find_map(|output| match output {
-        event::Output::AskTrial(trial) => Some(*trial),
+        event::Output::RequestTrial(trial) => Some(*trial),
         _ => None,
     });
     core.step(clock::Millis(3), [event::Input::Granted(asked.expect("it asks for a trial"))])
--- a/crates/core/tests/one_leaf/mod.rs
+++ b/crates/core/tests/one_leaf/mod.rs
@@ -68,7 +68,7 @@
     event::Request {
         caller: id::Caller(caller),
         class: CompactString::const_new("ask"),
-        patience: None,
+        timeout: None,
         key: None,
         relayed: None,
         fingerprint: None,
--- a/crates/core/tests/registry/crashing.rs
+++ b/crates/core/tests/registry/crashing.rs
@@ -230,12 +230,12 @@
                     event::Output::Cleared(fingerprint) => {
                         self.fleet.tell(host, control::Input::Cleared(fingerprint));
                     }
-                    event::Output::AskTrial(trial) => self.fleet.tell(host, control::Input::AskTrial(trial)),
+                    event::Output::RequestTrial(trial) => self.fleet.tell(host, control::Input::AskTrial(trial)),
                     event::Output::TrialUnused(trial) => self.fleet.tell(host, control::Input::TrialUnused(trial)),
                     event::Output::Probe { server, .. } => {
                         let is_down = self.leafs[server.index()].down_until > self.now;
-                        let finding = if is_down { event::Finding::Dead } else { event::Finding::Listens };
-                        inputs.push(event::Input::Probed { server, finding });
+                        let liveness = if is_down { event::Liveness::Dead } else { event::Liveness::Listening };
+                        inputs.push(event::Input::Probed { server, liveness });
                     }
                     event::Output::Breach(breach) => panic!("{breach:?}"),
                     _ => {}
--- a/crates/core/tests/town/mod.rs
+++ b/crates/core/tests/town/mod.rs
@@ -418,7 +418,7 @@
         let request = event::Request {
             caller: id::Caller(caller),
             class: CompactString::const_new(if asked.is_light { "strip" } else { "sweep" }),
-            patience: Some(clock::Millis((asked.first_at + deadline).saturating_sub(self.now))),
+            timeout: Some(clock::Millis((asked.first_at + deadline).saturating_sub(self.now))),
             key: None,
             relayed: None,
             fingerprint: None,
@@ -476,7 +476,7 @@
         let request = event::Request {
             caller: id::Caller(caller),
             class: CompactString::const_new(if is_light { "strip" } else { "sweep" }),
-            patience: Some(dispatch.deadline - clock::Millis(self.now)),
+            timeout: Some(dispatch.deadline - clock::Millis(self.now)),
             key: None,
             relayed: dispatch.relayed,
             fingerprint: None,
--- a/crates/node/src/lane/attempt.rs
+++ b/crates/node/src/lane/attempt.rs
@@ -79,20 +79,20 @@
 /// Opens a connection to `server` and tells the core whether it lives. The connection is kept for the next attempt.
 pub(super) async fn probe(shell: Rc<Shell>, server: id::Server, address: CompactString) {
     let counted = shell.state.borrow_mut().pools.open(server);
-    let finding = match counted {
-        None => event::Finding::Unknown,
+    let liveness = match counted {
+        None => event::Liveness::Unknown,
         Some(counted) => match open(&shell, &address, counted).await {
             Ok(Some(mut connection)) => {
                 connection.idle_since = shell.now();
                 shell.state.borrow_mut().pools.put(server, connection);
-                event::Finding::Listens
+                event::Liveness::Listening
             }
-            Ok(None) => event::Finding::Unknown,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => event::Finding::Dead,
-            Err(_) => event::Finding::Unknown,
+            Ok(None) => event::Liveness::Unknown,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => event::Liveness::Dead,
+            Err(_) => event::Liveness::Unknown,
         },
     };
-    shell.step([event::Input::Probed { server, finding }]);
+    shell.step([event::Input::Probed { server, liveness }]);
 }
 
 async fn connect(shell: &Rc<Shell>, dispatch: &event::Dispatch) -> Option<pool::Connection> {
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -291,7 +291,7 @@
         outcome = %core.outcome,
         code = %core.code,
         took_ms = took as u64,
-        late_ms = core.late.map(|span| span.0),
+        late_ms = core.lateness.map(|span| span.0),
         from,
         via = core.via.as_deref(),
         shards,
--- a/crates/node/src/lane/mod.rs
+++ b/crates/node/src/lane/mod.rs
@@ -190,7 +190,7 @@
             state.callers.insert(caller, Caller { request: Rc::new(request), reply });
             caller
         };
-        let request = traffic::event::Request { caller, class, patience, key, relayed, fingerprint };
+        let request = traffic::event::Request { caller, class, timeout: patience, key, relayed, fingerprint };
         self.step([traffic::event::Input::Request(request)]);
         (caller, receiver)
     }
@@ -224,7 +224,7 @@
             }
             traffic::event::Output::Crashed(crash) => self.tell(control::Input::Crashed(crash)),
             traffic::event::Output::Cleared(fingerprint) => self.tell(control::Input::Cleared(fingerprint)),
-            traffic::event::Output::AskTrial(trial) => self.tell(control::Input::AskTrial(trial)),
+            traffic::event::Output::RequestTrial(trial) => self.tell(control::Input::AskTrial(trial)),
             traffic::event::Output::TrialUnused(trial) => self.tell(control::Input::TrialUnused(trial)),
             traffic::event::Output::Probe { server, address } => {
                 task::spawn_local(attempt::probe(Rc::clone(self), server, address));
--- a/crates/node/src/lane/pages.rs
+++ b/crates/node/src/lane/pages.rs
@@ -134,7 +134,7 @@
     shell.shared.control.send(shared::ToControl::Explain(name, reply)).ok();
     match timeout(EXPLAIN_WAIT, receiver).await {
         Ok(Ok(Some(reasons))) => Ok(json(&shell, &reasons)),
-        _ => Ok(refusal(&shell, StatusCode::NOT_FOUND, "unknown_class", event::Code::UnknownClass.sentence())),
+        _ => Ok(refusal(&shell, StatusCode::NOT_FOUND, "unknown_class", event::Code::UnknownClass.message())),
     }
 }
 
--- a/crates/wire/src/own.rs
+++ b/crates/wire/src/own.rs
@@ -45,7 +45,7 @@
             query: answer.name.clone(),
             outcome: core.outcome,
             code: core.code,
-            message: CompactString::const_new(core.code.sentence()),
+            message: CompactString::const_new(core.code.message()),
             snapshot: core.snapshot,
             shards: (core.contributed.len() + core.missing.len()) as u32,
             missing: core.missing.clone(),
@@ -133,7 +133,7 @@
         return seam::Reply::lost(event::Loss::Unusable);
     };
     if reply.attempt != name || reply.shard != dispatch.shard {
-        return seam::Reply::lost(event::Loss::Foreign);
+        return seam::Reply::lost(event::Loss::Mismatched);
     }
     let part =
         event::Part { snapshot: reply.snapshot, held: reply.held, hits: reply.count, load: reply.load, queue: None };
