--- a/crates/core/src/traffic/relay.rs
+++ b/crates/core/src/traffic/relay.rs
@@ -83,7 +83,7 @@
             return false;
         };
         row.is_forwarded = false;
-        self.begin(query);
+        self.send_first_attempts(query);
         true
     }
 }
--- a/crates/core/src/traffic/suspect.rs
+++ b/crates/core/src/traffic/suspect.rs
@@ -183,7 +183,7 @@
         self.trials.retain(|_, query| queries.get(query.0).is_some());
         self.trials.insert(fingerprint, query);
         self.timers.push(self.now + GRANT_TIMEOUT, Timer::TrialTimeout(query));
-        self.outputs.push(event::Output::AskTrial(suspect::Trial { fingerprint, attempt }));
+        self.outputs.push(event::Output::RequestTrial(suspect::Trial { fingerprint, attempt }));
     }
 
     /// Handles a trial granted by control: starts its query, if it still waits.
@@ -250,7 +250,7 @@
         let code = if may_have_run { event::Code::AttemptLost } else { event::Code::CrashesServers };
         let standing = self.standing(fingerprint);
         let retry_after = standing.map_or(TRIAL_RETRY_AFTER, |standing| self.retry_after(standing));
-        self.finish_because(query, code, Some(retry_after), why::Why::Crashes { fingerprint, retry_after });
+        self.finish_with_reason(query, code, Some(retry_after), why::Why::Crashes { fingerprint, retry_after });
     }
 
     /// Logs an attempt of `query` at `server` if its request is suspected.
@@ -317,16 +317,16 @@
         self.outputs.push(event::Output::Probe { server, address });
     }
 
-    pub(super) fn on_probed(&mut self, server: id::Server, finding: event::Finding) {
+    pub(super) fn on_probed(&mut self, server: id::Server, liveness: event::Liveness) {
         let state = &mut self.servers[server.index()];
         if !matches!(state.probe, Probe::Sent(_)) {
             return;
         }
         state.probe = Probe::None;
-        match finding {
-            event::Finding::Listens => state.losses.clear(),
-            event::Finding::Dead => self.on_server_gone(server),
-            event::Finding::Unknown => {}
+        match liveness {
+            event::Liveness::Listening => state.losses.clear(),
+            event::Liveness::Dead => self.on_server_gone(server),
+            event::Liveness::Unknown => {}
         }
         self.release(server);
     }
@@ -334,7 +334,7 @@
     pub(super) fn on_probe_timeout(&mut self, server: id::Server) {
         let is_over = |at: clock::Millis| self.now.since(at) >= PROBE_TIMEOUT;
         if matches!(self.servers[server.index()].probe, Probe::Sent(at) if is_over(at)) {
-            self.on_probed(server, event::Finding::Unknown);
+            self.on_probed(server, event::Liveness::Unknown);
         }
     }
 
