--- a/crates/core/benches/decisions/run.rs
+++ b/crates/core/benches/decisions/run.rs
@@ -109,9 +109,9 @@
         idempotent: true,
         hedge,
         priority: 0,
-        aim: None,
+        target_latency: None,
         shape: view::Shape::Hits,
-        servers_most: None,
+        max_servers: None,
         homes: Vec::new(),
         relay: None,
         branches: vec![view::Branch { weight: 1.0, targets }],
@@ -250,7 +250,7 @@
             event::Input::Request(event::Request {
                 caller,
                 class,
-                patience: None,
+                timeout: None,
                 key: None,
                 relayed: None,
                 fingerprint: None,
@@ -268,7 +268,7 @@
                 event::Output::Trim { .. }
                 | event::Output::Revalidate
                 | event::Output::Crashed(_)
-                | event::Output::AskTrial(_)
+                | event::Output::RequestTrial(_)
                 | event::Output::TrialUnused(_)
                 | event::Output::Probe { .. }
                 | event::Output::Cleared(_)
--- a/crates/core/tests/registry/crashing.rs
+++ b/crates/core/tests/registry/crashing.rs
@@ -128,7 +128,7 @@
     // The servers tell no incarnation, and are back under their names.
     view.servers.iter_mut().flatten().for_each(|server| server.incarnation = 0);
     let class = &mut view.classes[0];
-    class.servers_most = Some(2);
+    class.max_servers = Some(2);
     class.deadline = clock::Millis(800);
     let least = if size.shards > 1 { 0.75 } else { 1.0 };
     class.least_coverage = ratio::Ratio::try_from(least).expect("a ratio");
@@ -230,12 +230,12 @@
                     event::Output::Cleared(fingerprint) => {
                         self.fleet.tell(host, control::Input::Cleared(fingerprint));
                     }
-                    event::Output::AskTrial(trial) => self.fleet.tell(host, control::Input::AskTrial(trial)),
+                    event::Output::RequestTrial(trial) => self.fleet.tell(host, control::Input::RequestTrial(trial)),
                     event::Output::TrialUnused(trial) => self.fleet.tell(host, control::Input::TrialUnused(trial)),
                     event::Output::Probe { server, .. } => {
                         let is_down = self.leafs[server.index()].down_until > self.now;
-                        let finding = if is_down { event::Finding::Dead } else { event::Finding::Listens };
-                        inputs.push(event::Input::Probed { server, finding });
+                        let liveness = if is_down { event::Liveness::Dead } else { event::Liveness::Listening };
+                        inputs.push(event::Input::Probed { server, liveness });
                     }
                     event::Output::Breach(breach) => panic!("{breach:?}"),
                     _ => {}
--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -60,7 +60,8 @@
     }
     if text.is_empty() {
         let problem = "the entry is empty".to_owned();
-        let fault = plan::Fault { document: key.into(), place: plan::Place::default(), problem, remedy: String::new() };
+        let fault =
+            plan::Fault { document: key.into(), position: plan::Position::default(), problem, remedy: String::new() };
         return Ok(plan::Part::Unreadable(fault));
     }
     let (service, data_centre, state) = (word(), word(), word());
@@ -79,20 +80,21 @@
 
 fn routing(number: u64, shards: usize) -> plan::Routing {
     let services: Vec<CompactString> = (0..shards).map(|shard| format_compact!("s{shard}")).collect();
-    let to = plan::Destination::Gather { services: services.clone(), top: 10, least_coverage: ratio::Ratio::ONE };
+    let destination =
+        plan::Destination::Gather { services: services.clone(), top: 10, least_coverage: ratio::Ratio::ONE };
     let route = plan::Route {
         name: "sweep".into(),
         host: "example".into(),
         prefix: "/sweep/".into(),
         idempotent: true,
         timeout: clock::Millis(600),
-        aim: Some(clock::Millis(100)),
-        servers_most: 2,
+        target_latency: Some(clock::Millis(100)),
+        max_servers: 2,
         priority: 0,
         homes: Vec::new(),
-        to,
+        destination,
     };
-    let services = services.into_iter().map(|name| plan::Backing { name, connections: 56, warm_up: None }).collect();
+    let services = services.into_iter().map(|name| plan::Upstream { name, connections: 56, warm_up: None }).collect();
     plan::Routing { number, routes: vec![route], services, limits: None }
 }
 
@@ -199,7 +201,7 @@
 fn revision(event: &mirror::Event) -> u64 {
     match event {
         mirror::Event::Put(item) => item.revision,
-        mirror::Event::Gone { revision, .. } => *revision,
+        mirror::Event::Delete { revision, .. } => *revision,
     }
 }
 
@@ -298,7 +300,7 @@
         self.store.revision += 1;
         let revision = self.store.revision;
         self.store.items.swap_remove(key);
-        self.store.log.push(mirror::Event::Gone { key: key.into(), revision });
+        self.store.log.push(mirror::Event::Delete { key: key.into(), revision });
         self.end_watches();
     }
 
@@ -435,7 +437,7 @@
                 let took = if self.store.is_mute { PAGE_PATIENCE } else { 4 };
                 self.at(self.now + took, Happening::Input { host, life, input });
             }
-            control::Output::Follow { ticket, after, wait, patience } => {
+            control::Output::Follow { ticket, after, wait, timeout: patience } => {
                 self.store.calls += 1;
                 self.waiting.retain(|waiting| waiting.host != host);
                 let is_lost = self.hosts[host].is_cut || self.store.is_mute;
@@ -456,7 +458,7 @@
             control::Output::Breach(breach) => panic!("{breach:?}"),
             control::Output::Note(note) => self.hosts[host].notes.push(note),
             control::Output::Suspects(suspects) => self.hosts[host].suspects = suspects,
-            control::Output::Granted(trial) => self.hosts[host].granted.push(trial),
+            control::Output::TrialGranted(trial) => self.hosts[host].granted.push(trial),
             control::Output::Revalidated => {}
             other => panic!("a registry has no {other:?}"),
         }
@@ -517,10 +519,10 @@
 
     fn changes(&self, after: u64) -> mirror::Changes {
         if after < self.store.forgotten || after > self.store.revision {
-            return mirror::Changes::HistoryGone;
+            return mirror::Changes::Compacted;
         }
         let events = self.store.log.iter().filter(|event| revision(event) > after).cloned().collect();
-        mirror::Changes::News { events, at: self.store.revision, era: self.store.era }
+        mirror::Changes::Delta { events, at: self.store.revision, era: self.store.era }
     }
 
     fn send(&mut self, from: usize, to: &str, packs: bool, message: message::Message) {
--- a/crates/core/tests/registry/suspects.rs
+++ b/crates/core/tests/registry/suspects.rs
@@ -20,7 +20,7 @@
 }
 
 fn is_held(host: &fleet::Host, fingerprint: Fingerprint) -> bool {
-    host.suspects.get(&fingerprint).is_some_and(|standing| standing.ends_running())
+    host.suspects.get(&fingerprint).is_some_and(|standing| standing.cancels_running())
 }
 
 fn holding(fleet: &Fleet) -> usize {
@@ -36,7 +36,7 @@
 fn ask_everywhere(fleet: &mut Fleet, round: u64) -> Vec<(usize, Trial)> {
     for host in 0..fleet.hosts.len() {
         let trial = Trial { fingerprint: KILLER, attempt: round * 1000 + host as u64 };
-        fleet.tell(host, control::Input::AskTrial(trial));
+        fleet.tell(host, control::Input::RequestTrial(trial));
     }
     fleet.run_until(fleet.now + 300);
     let mut granted = Vec::new();
