--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -69,7 +69,7 @@
             power: (settings.processor * 1000.0) as u32,
             regions: settings.regions.clone(),
         };
-        let seed = catalog::Digest::of(&settings.name).0 ^ shared.origin.start();
+        let seed = catalog::Digest::of(&settings.name).0 ^ shared.origin.incarnation();
         let now = shared.origin.now();
         let core = control::Core::new(settings.control.clone(), identity, shared.interface.reader, seed, now);
         Self {
@@ -186,7 +186,7 @@
                     self.refused.push(format_compact!("{fault}"));
                 }
             }
-            control::Output::Breach(breach) => self.shared.metrics.breach(&breach),
+            control::Output::Breach(breach) => self.shared.metrics.record_breach(&breach),
         }
     }
 
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,61 +1,61 @@
-//! Errors that stop a node from starting. Errors of a single request, read or message never do:
-//! they are turned into an input of the core where they happen.
+//! Errors that prevent a node from starting. An error in a single request, read or message never does:
+//! it is converted to an input of the core where it occurs.
 
 use std::{io, net};
 
 use shallothub_core::plan;
 use snafu::Snafu;
 
-/// Why a node cannot start.
+/// An error that prevents a node from starting.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The settings cannot be read from the file system.
+    /// The settings file cannot be read.
     #[snafu(display("cannot read the settings `{path}`; check the path given with --settings"))]
     ReadSettings {
-        /// The path.
+        /// The path given with `--settings`.
         path: String,
-        /// Why.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The settings have faults.
+    /// The settings are invalid.
     #[snafu(display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))]
     Settings {
-        /// All of them.
+        /// All faults found, each on its own line of the message.
         faults: Vec<plan::Fault>,
     },
-    /// An address cannot be listened on.
-    #[snafu(display("cannot listen on {address}; is another process there, or is it not this host's?"))]
+    /// A TCP listener cannot be bound.
+    #[snafu(display("cannot listen on {address}; check that it is free and belongs to this host"))]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: net::SocketAddr,
-        /// Why.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The socket for other hosts cannot be opened.
-    #[snafu(display("cannot listen for other hosts on {address}; is another process there?"))]
+    /// The socket for messages from other hosts cannot be opened.
+    #[snafu(display("cannot listen for other hosts on {address}; check that the address is free"))]
     ListenPeer {
-        /// The address.
+        /// The address from the settings.
         address: net::SocketAddr,
-        /// Why.
+        /// The underlying error of the messaging library.
         source: nng::Error,
     },
-    /// A thread, its runtime or a signal handler cannot be had.
-    #[snafu(display("the system gives no thread or signal handler"))]
+    /// A thread, its async runtime or a signal handler cannot be created.
+    #[snafu(display("cannot create a thread, an async runtime or a signal handler"))]
     Thread {
-        /// Why.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The log cannot be set up.
-    #[snafu(display("the log filter `{filter}` cannot be read; write one such as `info`"))]
+    /// The log filter is invalid.
+    #[snafu(display("invalid log filter `{filter}`; use one such as `info`"))]
     Log {
-        /// The filter.
+        /// The filter from the settings.
         filter: String,
     },
     /// The metrics cannot be registered.
-    #[snafu(display("the metrics cannot be set up"))]
+    #[snafu(display("cannot register the metrics"))]
     Metrics {
-        /// Why.
+        /// The underlying error of the metrics library.
         source: prometheus::Error,
     },
 }
--- a/crates/node/src/lane/attempt.rs
+++ b/crates/node/src/lane/attempt.rs
@@ -1,8 +1,8 @@
-//! One attempt on the wire, from connection to reply.
+//! Sends one attempt and receives its reply.
 //!
-//! What matters is to know what is *proved*. As long as hyper hands the request back, no byte of it
-//! was sent and the end is [`event::Reply::NotSent`]. A refusal by the server is proof that it did
-//! not run. Everything else, also an answer that cannot be used, is an unknown end.
+//! The result must claim only what is *proven*. If hyper returns the request, no byte of it was sent,
+//! and the result is [`event::Reply::NotSent`]. A refusal by the server proves that the request did
+//! not run. Any other failure, including an unusable reply, is an unknown outcome.
 
 use std::{io, rc::Rc, time as std_time};
 
@@ -17,24 +17,25 @@
 
 use super::{Shell, pool};
 
-/// Longest time to open a connection. A server that is up answers in some milliseconds; one that is
-/// dark never does, and until then the attempt is proved not to have run and may go elsewhere.
-const CONNECT: std_time::Duration = std_time::Duration::from_millis(250);
+/// Timeout for opening a connection. A running server accepts within milliseconds, an unreachable one
+/// never does; an attempt that has no connection yet provably did not run and may be retried elsewhere.
+const CONNECT_TIMEOUT: std_time::Duration = std_time::Duration::from_millis(250);
 
-/// Runs `dispatch` and tells the core how it ended. Aborting the task closes the connection.
+/// Runs `dispatch` and passes its result to the core. Aborting the task closes the connection.
 pub(super) async fn run(shell: Rc<Shell>, dispatch: event::Dispatch, request: Rc<seam::Request>) {
     let reply = send(&shell, &dispatch, &request).await;
-    shell.attempt_ended(dispatch.attempt, dispatch.query, reply.end, reply.payload);
+    shell.finish_attempt(dispatch.attempt, dispatch.query, reply.end, reply.payload);
 }
 
-fn ended(end: event::Reply) -> seam::Reply {
+fn without_payload(end: event::Reply) -> seam::Reply {
     seam::Reply { end, payload: None, is_own: false, idle: None }
 }
 
 async fn send(shell: &Rc<Shell>, dispatch: &event::Dispatch, request: &seam::Request) -> seam::Reply {
     let settings = &shell.shared.settings;
     let leafs = shell.shared.interface.leafs;
-    let origin = seam::Origin { host: &settings.name, start: shell.shared.origin.start(), lane: shell.index as u32 };
+    let origin =
+        seam::Origin { host: &settings.name, start: shell.shared.origin.incarnation(), lane: shell.index as u32 };
     let name = leafs.name(origin, dispatch.attempt);
     let mut is_new = false;
     let mut unsent: Option<http::Request<Full<Bytes>>> = None;
@@ -48,27 +49,27 @@
             }
         };
         let Some(mut connection) = connection else {
-            return ended(event::Reply::NotSent);
+            return without_payload(event::Reply::NotSent);
         };
-        let left = dispatch.deadline.since(shell.now());
+        let remaining = dispatch.deadline.since(shell.now());
         let message = match (unsent.take(), dispatch.relayed) {
             (Some(message), _) => Some(message),
-            (None, Some(relayed)) => Some(relay::request(request, &settings.name, relayed, left)),
-            (None, None) => leafs.request(dispatch, &name, request, left),
+            (None, Some(relayed)) => Some(relay::request(request, &settings.name, relayed, remaining)),
+            (None, None) => leafs.request(dispatch, &name, request, remaining),
         };
         let Some(message) = message else {
-            return ended(event::Reply::NotSent);
+            return without_payload(event::Reply::NotSent);
         };
         match connection.sender.try_send_request(message).await {
             Ok(response) => return receive(shell, dispatch, &name, request, connection, response).await,
             Err(mut error) => {
-                // The server closed an idle connection just as it was taken: the request comes back
-                // unsent, and the next connection gets it.
+                // The server closed the idle connection as it was taken from the pool: the request is
+                // returned unsent and goes to the next connection.
                 let Some(message) = error.take_message() else {
                     return seam::Reply::lost(event::Loss::Broken);
                 };
                 if is_new {
-                    return ended(event::Reply::NotSent);
+                    return without_payload(event::Reply::NotSent);
                 }
                 unsent = Some(message);
             }
@@ -76,12 +77,12 @@
     }
 }
 
-/// Opens a connection to `server` and tells the core whether it lives. The connection is kept for the next attempt.
+/// Opens a connection to `server` and reports its liveness to the core. The connection is pooled for the next attempt.
 pub(super) async fn probe(shell: Rc<Shell>, server: id::Server, address: CompactString) {
-    let counted = shell.state.borrow_mut().pools.open(server);
-    let liveness = match counted {
+    let permit = shell.state.borrow_mut().pools.acquire(server);
+    let liveness = match permit {
         None => event::Liveness::Unknown,
-        Some(counted) => match open(&shell, &address, counted).await {
+        Some(permit) => match open(&shell, &address, permit).await {
             Ok(Some(mut connection)) => {
                 connection.idle_since = shell.now();
                 shell.state.borrow_mut().pools.put(server, connection);
@@ -96,24 +97,24 @@
 }
 
 async fn connect(shell: &Rc<Shell>, dispatch: &event::Dispatch) -> Option<pool::Connection> {
-    // Counts the connection from now on, also while it is being opened, until it is dropped.
-    let counted = shell.state.borrow_mut().pools.open(dispatch.server);
-    let Some(counted) = counted else {
-        let detail = format!("{}: one connection more than the share", dispatch.address);
+    // The permit counts the connection from before it is opened until it is dropped.
+    let permit = shell.state.borrow_mut().pools.acquire(dispatch.server);
+    let Some(permit) = permit else {
+        let detail = format!("{}: a new connection would exceed the lane's share", dispatch.address);
         let name = invariant::Name::BoundedConnections;
-        shell.shared.metrics.breach(&invariant::Breach { name, detail });
+        shell.shared.metrics.record_breach(&invariant::Breach { name, detail });
         return None;
     };
-    open(shell, &dispatch.address, counted).await.ok()?
+    open(shell, &dispatch.address, permit).await.ok()?
 }
 
-/// Opens a connection to `address`; `None` if that takes too long.
+/// Opens a connection to `address`; `None` if that times out or the handshake fails.
 async fn open(
     shell: &Rc<Shell>,
     address: &CompactString,
-    counted: pool::Counted,
+    permit: pool::Permit,
 ) -> io::Result<Option<pool::Connection>> {
-    let Ok(connected) = timeout(CONNECT, net::TcpStream::connect(address.as_str())).await else {
+    let Ok(connected) = timeout(CONNECT_TIMEOUT, net::TcpStream::connect(address.as_str())).await else {
         return Ok(None);
     };
     let stream = connected?;
@@ -122,11 +123,11 @@
         return Ok(None);
     };
     let driver = task::spawn_local(async move {
-        // An error ends the connection; whoever waits for a reply on it is told by the sender.
+        // An error ends the connection, and its sender reports that to the pending request.
         connection.await.ok();
     });
     shell.shared.metrics.connections.inc();
-    Ok(Some(pool::Connection::new(sender, driver.abort_handle(), counted, address.clone())))
+    Ok(Some(pool::Connection::new(sender, driver.abort_handle(), permit, address.clone())))
 }
 
 async fn receive(
@@ -147,22 +148,22 @@
         None => shell.shared.interface.leafs.reply(dispatch, name, request, &head, body.to_bytes()),
     };
     if reply.is_own {
-        give_back(shell, dispatch, connection, reply.idle).await;
+        return_to_pool(shell, dispatch, connection, reply.idle).await;
     }
     reply
 }
 
-async fn give_back(
+async fn return_to_pool(
     shell: &Rc<Shell>,
     dispatch: &event::Dispatch,
     mut connection: pool::Connection,
-    idle: Option<clock::Millis>,
+    idle_timeout: Option<clock::Millis>,
 ) {
-    // It is ready at once unless the server sent more than its answer; waiting for it would hold the
-    // reply up for a round of the scheduler.
+    // The sender is ready at once unless the server sent more than its answer; awaiting it first would
+    // delay the reply by one scheduler round.
     if connection.sender.is_ready() || connection.sender.ready().await.is_ok() {
         connection.idle_since = shell.now();
-        connection.idle_most = idle.unwrap_or(connection.idle_most);
+        connection.idle_timeout = idle_timeout.unwrap_or(connection.idle_timeout);
         shell.state.borrow_mut().pools.put(dispatch.server, connection);
     }
 }
--- a/crates/node/src/lane/pages.rs
+++ b/crates/node/src/lane/endpoints.rs
@@ -1,4 +1,4 @@
-//! The node's own pages (health, readiness, metrics, status, explanations), and the product's own
+//! The node's HTTP endpoints (health, readiness, metrics, status, explanations), and the product's own
 //! interface for callers, built on xitca-web.
 
 use std::{cell::RefCell, convert::Infallible, net, rc::Rc, time as std_time};
@@ -20,24 +20,24 @@
 use super::{Shell, ingress};
 use crate::shared;
 
-/// Longest wait for the thread that knows the answer to `/explain`.
-const EXPLAIN_WAIT: std_time::Duration = std_time::Duration::from_secs(1);
+/// Timeout for the thread that handles a request to `/explain`.
+const EXPLAIN_TIMEOUT: std_time::Duration = std_time::Duration::from_secs(1);
 
 type Lane = Rc<Shell>;
 type Context<'r> = WebContext<'r, Lane>;
 
 thread_local! {
-    /// The thread's lane. The library wants its builders to be `Send`, which a lane is not, so the
-    /// builder of the handlers' state finds it here.
+    /// The thread's lane. The library requires its builders to be `Send`, which a lane is not, so the
+    /// builder of the handlers' state takes it from here.
     static LANE: RefCell<Option<Lane>> = const { RefCell::new(None) };
 }
 
-/// Makes `shell` the lane of this thread, for [`service`].
-pub(super) fn enter(shell: &Lane) {
+/// Sets the lane of this thread, which [`service`] requires.
+pub(super) fn set_lane(shell: &Lane) {
     LANE.set(Some(Rc::clone(shell)));
 }
 
-/// The pages as a service for connections.
+/// The endpoints as a service for connections.
 pub(super) async fn service() -> Result<impl Service<(xitca_io::net::TcpStream, net::SocketAddr)>, &'static str> {
     let app = App::new()
         .at("/query/{class}", post(fn_service(query)))
@@ -66,13 +66,13 @@
         headers: request.headers().clone(),
         body: std::mem::take(&mut *ctx.body_borrow_mut()),
     };
-    Ok(ingress::serve(&shell, ingress::Side::Callers, incoming, None, None).await)
+    Ok(ingress::serve(&shell, ingress::Source::Callers, incoming, None, None).await)
 }
 
 fn refusal(shell: &Shell, status: StatusCode, code: &'static str, message: &str) -> WebResponse {
     let refusal = seam::Refusal { status, code, message: message.to_owned() };
     let mut response = ingress::respond(shell, seam::Callers::refuse(&own::Own, &refusal));
-    // What is left of the request's body is not read, so the connection cannot be used again.
+    // The rest of the request's body is not read, so the connection cannot be reused.
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
@@ -81,28 +81,33 @@
     ingress::respond(shell, own::json(StatusCode::OK, value))
 }
 
-fn plain(shell: &Shell, status: StatusCode, kind: &'static str, bytes: impl Into<Bytes>) -> WebResponse {
+fn text_response(
+    shell: &Shell,
+    status: StatusCode,
+    content_type: &'static str,
+    bytes: impl Into<Bytes>,
+) -> WebResponse {
     let mut response = http::Response::new(bytes.into());
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     ingress::respond(shell, response)
 }
 
 async fn health(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
-    Ok(plain(ctx.state(), StatusCode::OK, "text/plain", "alive\n"))
+    Ok(text_response(ctx.state(), StatusCode::OK, "text/plain", "alive\n"))
 }
 
 async fn readiness(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
     let phase = ctx.state().shared.phase();
     if phase == shared::Phase::Ready {
-        return Ok(plain(ctx.state(), StatusCode::OK, "text/plain", "ready\n"));
+        return Ok(text_response(ctx.state(), StatusCode::OK, "text/plain", "ready\n"));
     }
-    Ok(plain(ctx.state(), StatusCode::SERVICE_UNAVAILABLE, "text/plain", format!("{phase:?}\n")))
+    Ok(text_response(ctx.state(), StatusCode::SERVICE_UNAVAILABLE, "text/plain", format!("{phase:?}\n")))
 }
 
 async fn metrics(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
-    let text = ctx.state().shared.metrics.text();
-    Ok(plain(ctx.state(), StatusCode::OK, "text/plain; version=0.0.4", text))
+    let text = ctx.state().shared.metrics.encode();
+    Ok(text_response(ctx.state(), StatusCode::OK, "text/plain; version=0.0.4", text))
 }
 
 async fn status(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
@@ -110,7 +115,7 @@
     Ok(json(shell, &**shell.shared.status.load()))
 }
 
-/// An operator lets a request go that this host takes for one that crashes servers.
+/// Handles an operator's release of a request that this host suspects of crashing servers.
 async fn release(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
     let shell = Rc::clone(ctx.state());
     let text = ctx.req().uri().path().trim_start_matches("/release/").to_owned();
@@ -118,13 +123,13 @@
         let message = "a fingerprint is 32 hexadecimal digits, as `shallotctl status` shows";
         return Ok(refusal(&shell, StatusCode::BAD_REQUEST, "no_fingerprint", message));
     };
-    let is_known = shell.shared.status.load().suspects.iter().any(|told| told.fingerprint == Some(fingerprint));
+    let is_known = shell.shared.status.load().suspects.iter().any(|record| record.fingerprint == Some(fingerprint));
     if !is_known {
         let message = "this host remembers no such request";
         return Ok(refusal(&shell, StatusCode::NOT_FOUND, "unknown_fingerprint", message));
     }
     shell.shared.control.send(shared::ToControl::Input(control::Input::Release(fingerprint))).ok();
-    Ok(plain(&shell, StatusCode::OK, "text/plain", "released on this host\n"))
+    Ok(text_response(&shell, StatusCode::OK, "text/plain", "released on this host\n"))
 }
 
 async fn explain_selector(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
@@ -132,7 +137,7 @@
     let name = CompactString::from(ctx.req().uri().path().trim_start_matches("/explain/selector/"));
     let (reply, receiver) = tokio::sync::oneshot::channel();
     shell.shared.control.send(shared::ToControl::Explain(name, reply)).ok();
-    match timeout(EXPLAIN_WAIT, receiver).await {
+    match timeout(EXPLAIN_TIMEOUT, receiver).await {
         Ok(Ok(Some(reasons))) => Ok(json(&shell, &reasons)),
         _ => Ok(refusal(&shell, StatusCode::NOT_FOUND, "unknown_class", event::Code::UnknownClass.message())),
     }
@@ -145,8 +150,8 @@
     if let Some(lane) = lane.and_then(|lane| shell.shared.lanes.get(lane)) {
         let (reply, receiver) = tokio::sync::oneshot::channel();
         lane.send(shared::ToLane::Explain(name, reply)).ok();
-        if let Ok(Ok(Some(text))) = timeout(EXPLAIN_WAIT, receiver).await {
-            return Ok(plain(&shell, StatusCode::OK, "text/plain", text));
+        if let Ok(Ok(Some(text))) = timeout(EXPLAIN_TIMEOUT, receiver).await {
+            return Ok(text_response(&shell, StatusCode::OK, "text/plain", text));
         }
     }
     let message = "this host remembers no such query; ask the host that the name begins with, soon after the answer";
--- a/crates/node/src/lane/fingerprint.rs
+++ b/crates/node/src/lane/fingerprint.rs
@@ -1,17 +1,17 @@
-//! What a request asks, as a hash, so that it is known again when it comes to another host.
+//! Fingerprints of requests, by which a request is recognised when it arrives at another host.
 
 use http::header;
 use shallothub_core::suspect;
 use shallothub_wire::seam;
 
-/// The fingerprint of method, host, path, query and body. The hash is one for which nobody can make up a harmless
-/// looking request with the fingerprint of another one.
+/// The fingerprint of method, host, path, query and body. The hash is cryptographic, so that nobody can craft a
+/// request with the fingerprint of another one.
 pub(super) fn of(request: &seam::Request) -> suspect::Fingerprint {
     let mut hash = blake3::Hasher::new();
     let host = request.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
     let target = request.target.path_and_query().map_or("", |target| target.as_str());
     for field in [request.method.as_str().as_bytes(), host, target.as_bytes(), &request.body] {
-        // Lengths keep one field's end apart from the next one's beginning.
+        // The length prefix marks where each field ends.
         hash.update(&(field.len() as u64).to_le_bytes());
         hash.update(field);
     }
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -1,4 +1,4 @@
-//! The callers' side: from a request on a connection to its one answer.
+//! Handles incoming requests: reads a request from a connection and sends its single answer.
 
 use std::{convert::Infallible, net, pin::pin, rc::Rc, time as std_time};
 
@@ -16,50 +16,50 @@
     http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header},
 };
 
-use super::{Shell, link};
+use super::{Shell, inbound};
 use crate::{shared, time};
 
-/// How long another host should not ask this one after it said that it leaves; by then it is gone.
-const LEFT: clock::Millis = clock::Millis(5000);
-/// Bytes of a head besides its headers' names and values, for each header: colon, space, line end.
-const HEADER_FRAME: usize = 4;
+/// Time for which other hosts should relay nothing to this one once it is draining; by then it has stopped.
+const DRAINING_RETRY_AFTER: clock::Millis = clock::Millis(5000);
+/// Bytes of each header in a head besides its name and value: colon, space and line end.
+const HEADER_OVERHEAD: usize = 4;
 
-/// Who sends requests on a connection.
+/// The senders of requests on a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Side {
-    /// Callers.
+pub(super) enum Source {
+    /// Callers, directly.
     Callers,
-    /// Other hosts, which pass callers' requests on.
+    /// Other hosts, which relay callers' requests.
     Hosts,
 }
 
 /// Serves a request on a connection where every path is a request.
 pub(super) async fn handle(
     shell: &Rc<Shell>,
-    side: Side,
+    source: Source,
     request: Request<RequestExt<RequestBody>>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     let (head, ext) = request.into_parts();
     let (ext, body) = ext.replace_body(());
-    let link = shell.link(*ext.socket_addr());
-    if link.as_ref().is_some_and(link::Link::is_closed) {
+    let connection = shell.inbound_connection(*ext.socket_addr());
+    if connection.as_ref().is_some_and(inbound::Connection::has_sent_close) {
         let refusal = seam::Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "after_last",
             message: "an earlier answer ended this connection; send the request on a new one".to_owned(),
         };
-        return Ok(turn_away(shell, &refusal, Some(*ext.socket_addr())));
+        return Ok(reject(shell, &refusal, Some(*ext.socket_addr())));
     }
     let incoming = Incoming { method: head.method, target: head.uri, headers: head.headers, body };
-    let response = serve(shell, side, incoming, link.as_ref(), Some(*ext.socket_addr())).await;
-    if let Some(link) = link {
+    let response = serve(shell, source, incoming, connection.as_ref(), Some(*ext.socket_addr())).await;
+    if let Some(connection) = connection {
         let is_last = response.headers().get(header::CONNECTION).is_some_and(|value| value == "close");
-        link.end(is_last);
+        connection.finish_request(is_last);
     }
     Ok(response)
 }
 
-/// A request as it comes in.
+/// A request whose body has not been read.
 pub(super) struct Incoming {
     pub(super) method: Method,
     pub(super) target: http::Uri,
@@ -67,74 +67,76 @@
     pub(super) body: RequestBody,
 }
 
-/// Serves a request. Where there is a `link`, a caller that hangs up is noticed.
+/// Serves a request. With a `connection`, it detects that the caller hangs up.
 pub(super) async fn serve(
     shell: &Rc<Shell>,
-    side: Side,
+    source: Source,
     mut incoming: Incoming,
-    link: Option<&link::Link>,
+    connection: Option<&inbound::Connection>,
     from: Option<net::SocketAddr>,
 ) -> Response<ResponseBody> {
     let _guard = shell.shared.enter_request();
     let started = std_time::Instant::now();
-    let order = if side == Side::Hosts { relay::take_order(&mut incoming.headers) } else { None };
-    if side == Side::Hosts && shell.shared.phase() >= shared::Phase::Draining {
-        return leave(shell);
+    let relay_params = if source == Source::Hosts { relay::take_order(&mut incoming.headers) } else { None };
+    if source == Source::Hosts && shell.shared.phase() >= shared::Phase::Draining {
+        return refuse_while_draining(shell);
     }
-    let (request, patience) = match receive(shell, incoming).await {
-        Ok((request, patience)) => (request, order.as_ref().map_or(patience, |order| order.patience)),
-        Err(refusal) => return turn_away(shell, &refusal, from),
+    let (request, caller_timeout) = match read_request(shell, incoming).await {
+        Ok((request, caller_timeout)) => {
+            (request, relay_params.as_ref().map_or(caller_timeout, |params| params.patience))
+        }
+        Err(refusal) => return reject(shell, &refusal, from),
     };
-    let spent = started.elapsed().as_millis() as u64;
-    let patience = patience.map(|patience| patience - clock::Millis(spent));
+    let elapsed = started.elapsed().as_millis() as u64;
+    let caller_timeout = caller_timeout.map(|caller_timeout| caller_timeout - clock::Millis(elapsed));
     let name = request.ask.name.clone();
-    let (caller, receiver) = shell.request(request, patience, order.as_ref().map(|order| order.relayed));
+    let (caller, receiver) = shell.request(request, caller_timeout, relay_params.as_ref().map(|params| params.relayed));
     let mut hang_up = HangUp { shell: Rc::clone(shell), caller: Some(caller) };
     let answer = tokio::select! {
         biased;
         answer = receiver => answer.ok(),
-        () = gone(link) => None,
+        () = caller_closed(connection) => None,
     };
     let Some(answer) = answer else {
-        // The core hears of it when `hang_up` is dropped, and nobody reads this.
+        // Dropping `hang_up` notifies the core; nobody reads this response.
         tracing::info!(request = %name, took_ms = started.elapsed().as_millis() as u64, "the caller hung up");
         drop(hang_up);
-        return close(respond(shell, Response::new(Bytes::new())));
+        return close_after(respond(shell, Response::new(Bytes::new())));
     };
     hang_up.caller = None;
-    let from = order.as_ref().map(|order| order.from.as_str());
-    report(shell, &name, from, &answer, started);
+    let from = relay_params.as_ref().map(|params| params.from.as_str());
+    record_answer(shell, &name, from, &answer, started);
     let (outcome, retry_after) = (answer.core.outcome, answer.core.retry_after);
     let mut response = respond(shell, shell.shared.interface.callers.answer(answer));
-    if side == Side::Hosts {
+    if source == Source::Hosts {
         relay::mark(response.headers_mut(), outcome, retry_after);
     }
     response
 }
 
-/// Answers a request that is not read any further.
-fn turn_away(shell: &Shell, refusal: &seam::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
+/// Answers a rejected request, of which nothing more is read.
+fn reject(shell: &Shell, refusal: &seam::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
     tracing::info!(code = refusal.code, detail = %refusal.message, from = ?from, "turned a request away");
-    shell.shared.metrics.refused(refusal.code);
-    close(respond(shell, shell.shared.interface.callers.refuse(refusal)))
+    shell.shared.metrics.record_rejection(refusal.code);
+    close_after(respond(shell, shell.shared.interface.callers.refuse(refusal)))
 }
 
-/// Tells another host to ask someone else: this one leaves, and will not be asked again.
-fn leave(shell: &Shell) -> Response<ResponseBody> {
+/// Refuses a relayed request while this host drains, so that the sender uses another host from now on.
+fn refuse_while_draining(shell: &Shell) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    relay::mark(response.headers_mut(), event::Outcome::NotRun, Some(LEFT));
-    close(respond(shell, response))
+    relay::mark(response.headers_mut(), event::Outcome::NotRun, Some(DRAINING_RETRY_AFTER));
+    close_after(respond(shell, response))
 }
 
-async fn gone(link: Option<&link::Link>) {
-    match link {
-        Some(link) => link.gone().await,
+async fn caller_closed(connection: Option<&inbound::Connection>) {
+    match connection {
+        Some(connection) => connection.closed().await,
         None => std::future::pending().await,
     }
 }
 
-/// Tells the core that the caller is gone if the handler is dropped before its answer.
+/// Notifies the core that the caller hung up if the handler is dropped before the answer.
 struct HangUp {
     shell: Rc<Shell>,
     caller: Option<id::Caller>,
@@ -148,16 +150,19 @@
     }
 }
 
-/// Reads a request within bounds.
-async fn receive(shell: &Shell, incoming: Incoming) -> Result<(seam::Request, Option<clock::Millis>), seam::Refusal> {
+/// Reads a request within the limits in force, and the timeout that its caller gave.
+async fn read_request(
+    shell: &Shell,
+    incoming: Incoming,
+) -> Result<(seam::Request, Option<clock::Millis>), seam::Refusal> {
     let Incoming { method, target, mut headers, body } = incoming;
     check_framing(&headers)?;
     check_head(shell, &target, &headers)?;
     let ask = shell.shared.interface.callers.read(&target, &headers)?;
-    let body = if body_is_empty(&headers) { Bytes::new() } else { read_within(shell, body).await? };
+    let body = if body_is_empty(&headers) { Bytes::new() } else { read_body(shell, body).await? };
     seam::strip(&mut headers);
-    let patience = ask.patience;
-    Ok((seam::Request { ask, method, target: origin_form(target), headers, body }, patience))
+    let caller_timeout = ask.patience;
+    Ok((seam::Request { ask, method, target: origin_form(target), headers, body }, caller_timeout))
 }
 
 fn body_is_empty(headers: &HeaderMap) -> bool {
@@ -165,7 +170,7 @@
         && headers.get(header::CONTENT_LENGTH).is_none_or(|length| length == "0")
 }
 
-/// Path and query, without scheme and host.
+/// The target in origin form: path and query, without scheme and host.
 fn origin_form(target: http::Uri) -> http::Uri {
     match target.path_and_query() {
         Some(path) if target.authority().is_some() => http::Uri::from(path.clone()),
@@ -173,8 +178,8 @@
     }
 }
 
-/// The library passes over transfer codings that it does not know, and reads a length with a sign.
-/// Either could make it take a body for the next request, so both are turned away.
+/// Rejects ambiguous framing. The library ignores unknown transfer codings and accepts a length with a
+/// sign; either could make it parse a body as the next request.
 fn check_framing(headers: &HeaderMap) -> Result<(), seam::Refusal> {
     let refusal = |message: &str| seam::Refusal {
         status: StatusCode::BAD_REQUEST,
@@ -204,7 +209,7 @@
     };
     let mut bytes = target.path_and_query().map_or(0, |path| path.as_str().len());
     for (name, value) in headers {
-        bytes += name.as_str().len() + value.len() + HEADER_FRAME;
+        bytes += name.as_str().len() + value.len() + HEADER_OVERHEAD;
     }
     if bytes <= limits.header_bytes {
         return Ok(());
@@ -216,15 +221,15 @@
     })
 }
 
-async fn read_within(shell: &Shell, body: RequestBody) -> Result<Bytes, seam::Refusal> {
+async fn read_body(shell: &Shell, body: RequestBody) -> Result<Bytes, seam::Refusal> {
     let settings = &shell.shared.settings;
-    let most = shell.limits().map_or(settings.request_bytes_max, |limits| limits.body_bytes);
-    match timeout(time::duration(settings.body_wait_ms), read(body, most)).await {
+    let limit = shell.limits().map_or(settings.request_bytes_max, |limits| limits.body_bytes);
+    match timeout(time::duration(settings.body_wait_ms), read_limited(body, limit)).await {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(BodyError::TooLarge)) => Err(seam::Refusal {
             status: StatusCode::PAYLOAD_TOO_LARGE,
             code: "body_too_large",
-            message: format!("the body is over {most} bytes; send a smaller one"),
+            message: format!("the body is over {limit} bytes; send a smaller one"),
         }),
         Ok(Err(BodyError::Broken)) => Err(seam::Refusal {
             status: StatusCode::BAD_REQUEST,
@@ -244,7 +249,7 @@
     Broken,
 }
 
-async fn read(body: RequestBody, limit: usize) -> Result<Bytes, BodyError> {
+async fn read_limited(body: RequestBody, limit: usize) -> Result<Bytes, BodyError> {
     let mut body = pin!(body);
     let mut bytes = BytesMut::new();
     while let Some(chunk) = body.as_mut().data().await {
@@ -259,29 +264,29 @@
     Ok(bytes.freeze())
 }
 
-/// The library's response of `response`. A draining node ends its connections with their answers.
+/// Converts `response` to the library's type. A draining node closes each connection after its answer.
 pub(super) fn respond(shell: &Shell, response: http::Response<Bytes>) -> Response<ResponseBody> {
     let response = response.map(ResponseBody::from);
-    if shell.shared.phase() >= shared::Phase::Draining { close(response) } else { response }
+    if shell.shared.phase() >= shared::Phase::Draining { close_after(response) } else { response }
 }
 
-/// Ends the connection with this answer; of a request that was turned away, the rest is not read.
-fn close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
+/// Closes the connection after this answer, so that the rest of a rejected request is not read.
+fn close_after(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// One line and the counters for an answer.
-fn report(shell: &Shell, request: &str, from: Option<&str>, answer: &seam::Answer, started: std_time::Instant) {
+/// Logs an answer and updates the metrics.
+fn record_answer(shell: &Shell, request: &str, from: Option<&str>, answer: &seam::Answer, started: std_time::Instant) {
     let core = &answer.core;
     let shards = core.contributed.len() + core.missing.len();
-    // The name of an unknown class comes from the caller; as a label it would grow without bound.
+    // The caller chooses the name of an unknown class; as label values, such names would be unbounded.
     let class = if core.code == event::Code::UnknownClass { "unknown" } else { core.class.as_str() };
     let took = started.elapsed().as_secs_f64() * 1000.0;
-    shell.shared.metrics.answered(class, core, shards, took);
+    shell.shared.metrics.record_answer(class, core, shards, took);
     let name = answer.name.as_deref().unwrap_or_default();
     let missing = format_compact!("{}", core.missing.join(","));
-    // What decided it, and by which configuration and which list of servers; of a whole answer nobody asks.
+    // The inputs of the decision, and, unless the answer is complete, the versions of the documents in force.
     let why = (core.why != why::Why::CodeOnly).then(|| tracing::field::display(&core.why));
     let versions = (core.code != event::Code::Ok).then(|| shell.versions());
     tracing::info!(
--- a/crates/node/src/lane/mod.rs
+++ b/crates/node/src/lane/mod.rs
@@ -1,16 +1,16 @@
 //! A traffic lane: one thread with its own traffic core, connections and callers.
 //!
-//! [`Shell::step`] is the only way into the core: an input comes from a caller's handler, from the
-//! task of an attempt, from the timer task or from control, and the outputs are carried out before
-//! anything else runs on the thread.
+//! [`Shell::step`] is the only entry point to the core: inputs come from the handler of a request, the
+//! task of an attempt, the timer task or the control thread, and the outputs are executed before any
+//! other task runs on the thread.
 
 mod accept;
 mod attempt;
+mod endpoints;
 mod fingerprint;
+mod inbound;
 mod ingress;
-mod link;
 mod note;
-mod pages;
 mod pool;
 
 use std::{cell::RefCell, rc::Rc, sync::Arc, thread};
@@ -26,27 +26,27 @@
 
 pub use accept::Listeners;
 
-/// Longest time between two steps; a longer gap than the policy's means that the process stopped.
-const TICK: clock::Millis = clock::Millis(300);
-/// Time between two publications of a lane's counters.
-const PUBLISH: clock::Millis = clock::Millis(200);
+/// Maximum time between two steps. The core takes a gap above the policy's as a pause of the process.
+const MAX_STEP_INTERVAL: clock::Millis = clock::Millis(300);
+/// Interval at which a lane publishes its counters.
+const PUBLISH_INTERVAL: clock::Millis = clock::Millis(200);
 
-/// Starts the thread of lane `index`. It ends with the process.
+/// Starts the thread of lane `index`, which runs until the process exits.
 pub fn start(
     shared: Arc<shared::Shared>,
     index: usize,
     listeners: accept::Listeners,
-    words: mpsc::UnboundedReceiver<shared::ToLane>,
+    messages: mpsc::UnboundedReceiver<shared::ToLane>,
 ) -> Result<thread::JoinHandle<()>, error::Error> {
     let builder = thread::Builder::new().name(format!("lane-{index}"));
     let thread = builder.spawn(move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else {
-            tracing::error!("a lane has no runtime");
+            tracing::error!("failed to create the async runtime of a lane");
             return;
         };
         let local = task::LocalSet::new();
-        local.block_on(&runtime, run(shared, index, listeners, words));
+        local.block_on(&runtime, run(shared, index, listeners, messages));
     });
     thread.context(error::ThreadSnafu)
 }
@@ -55,62 +55,62 @@
     shared: Arc<shared::Shared>,
     index: usize,
     listeners: accept::Listeners,
-    mut words: mpsc::UnboundedReceiver<shared::ToLane>,
+    mut messages: mpsc::UnboundedReceiver<shared::ToLane>,
 ) {
     let shell = Shell::new(shared, index);
     task::spawn_local(accept::run(Rc::clone(&shell), listeners));
     task::spawn_local(tick(Rc::clone(&shell)));
-    while let Some(word) = words.recv().await {
-        match word {
+    while let Some(message) = messages.recv().await {
+        match message {
             shared::ToLane::View(view) => shell.step([traffic::event::Input::View(view)]),
             shared::ToLane::Suspects(suspects) => shell.step([traffic::event::Input::Suspects(suspects)]),
             shared::ToLane::Granted(trial) => shell.step([traffic::event::Input::Granted(trial)]),
             shared::ToLane::Revalidated => shell.step([traffic::event::Input::Revalidated]),
             shared::ToLane::Explain(query, reply) => {
-                // The asker may have gone; then nobody needs the answer.
+                // Fails if the requester has gone, so that the result is not needed.
                 reply.send(shell.explain(&query)).ok();
             }
         }
     }
 }
 
-/// Steps the core when a timer is due, and at least each [`TICK`].
+/// Steps the core when a timer is due, and at least once per [`MAX_STEP_INTERVAL`].
 async fn tick(shell: Rc<Shell>) {
     let mut published_at = clock::Millis::ZERO;
     loop {
         let now = shell.now();
         let due = shell.state.borrow().core.next_timer();
-        let wait = due.map_or(TICK, |due| due.since(now)).clamp(clock::Millis(1), TICK);
-        shell.armed_for.set(now + wait);
+        let wait = due.map_or(MAX_STEP_INTERVAL, |due| due.since(now)).clamp(clock::Millis(1), MAX_STEP_INTERVAL);
+        shell.wake_at.set(now + wait);
         tokio::select! {
             () = sleep(time::duration(wait)) => {}
             () = shell.rearm.notified() => continue,
         }
         shell.step([traffic::event::Input::Tick]);
-        if shell.now().since(published_at) >= PUBLISH {
+        if shell.now().since(published_at) >= PUBLISH_INTERVAL {
             published_at = shell.now();
             shell.publish();
         }
     }
 }
 
-/// A lane, shared by the tasks of its thread.
+/// The state of a lane, shared by the tasks of its thread.
 pub(crate) struct Shell {
     pub(crate) shared: Arc<shared::Shared>,
     index: usize,
     state: RefCell<State>,
-    links: link::Links,
+    inbound: inbound::Connections,
     rearm: tokio::sync::Notify,
-    armed_for: std::cell::Cell<clock::Millis>,
+    wake_at: std::cell::Cell<clock::Millis>,
 }
 
 struct State {
     core: traffic::Core,
     next_caller: u64,
     callers: IndexMap<id::Caller, Caller>,
-    /// What came back and may still contribute, by query.
+    /// Reply bodies that may still contribute to an answer, by query.
     replies: IndexMap<id::Query, Vec<(id::Attempt, seam::Payload)>>,
-    running: IndexMap<id::Attempt, task::AbortHandle>,
+    tasks: IndexMap<id::Attempt, task::AbortHandle>,
     pools: pool::Pools,
 }
 
@@ -122,7 +122,7 @@
 impl Shell {
     fn new(shared: Arc<shared::Shared>, index: usize) -> Rc<Self> {
         let lane = traffic::Lane { index: index as u32, count: shared.lanes.len() as u32 };
-        let seed = catalog::Digest::of(&shared.settings.name).0 ^ shared.origin.start() ^ index as u64;
+        let seed = catalog::Digest::of(&shared.settings.name).0 ^ shared.origin.incarnation() ^ index as u64;
         let pools = pool::Pools::new(shared.settings.descriptors, shared.lanes.len());
         let core = traffic::Core::new(shared.settings.traffic.clone(), lane, seed, shared.origin.now());
         Rc::new(Self {
@@ -133,12 +133,12 @@
                 next_caller: 0,
                 callers: IndexMap::new(),
                 replies: IndexMap::new(),
-                running: IndexMap::new(),
+                tasks: IndexMap::new(),
                 pools,
             }),
-            links: RefCell::default(),
+            inbound: RefCell::default(),
             rearm: tokio::sync::Notify::new(),
-            armed_for: std::cell::Cell::new(clock::Millis::MAX),
+            wake_at: std::cell::Cell::new(clock::Millis::MAX),
         })
     }
 
@@ -146,21 +146,21 @@
         self.shared.origin.now()
     }
 
-    /// The bounds on callers in force.
+    /// The limits on callers' requests and connections in force; `None` if the configuration has none.
     pub(crate) fn limits(&self) -> Option<route::Limits> {
         self.state.borrow().core.view().limits
     }
 
-    /// The stamps of the configuration and of the list of servers in force.
+    /// The stamps of the configuration and the list of hosts in force.
     fn versions(&self) -> (view::Stamp, view::Stamp) {
         let state = self.state.borrow();
         let view = state.core.view();
         (view.stamp, view.hosts_revision)
     }
 
-    /// The class to which a request goes; its destination's own words if there is none.
-    fn class(&self, to: &seam::Destination) -> CompactString {
-        match to {
+    /// The class named by `destination` or found by its route; empty if no route matches.
+    fn class(&self, destination: &seam::Destination) -> CompactString {
+        match destination {
             seam::Destination::Class(class) => class.clone(),
             seam::Destination::Route { host, path } => {
                 let state = self.state.borrow();
@@ -169,11 +169,11 @@
         }
     }
 
-    /// Hands a caller's request to the core; the answer comes through the receiver.
+    /// Passes a caller's request to the core; the answer arrives through the receiver.
     pub(crate) fn request(
         self: &Rc<Self>,
         request: seam::Request,
-        patience: Option<clock::Millis>,
+        caller_timeout: Option<clock::Millis>,
         relayed: Option<traffic::event::Relayed>,
     ) -> (id::Caller, oneshot::Receiver<seam::Answer>) {
         let (reply, receiver) = oneshot::channel();
@@ -190,12 +190,12 @@
             state.callers.insert(caller, Caller { request: Rc::new(request), reply });
             caller
         };
-        let request = traffic::event::Request { caller, class, timeout: patience, key, relayed, fingerprint };
+        let request = traffic::event::Request { caller, class, timeout: caller_timeout, key, relayed, fingerprint };
         self.step([traffic::event::Input::Request(request)]);
         (caller, receiver)
     }
 
-    /// Runs the core and carries out what it decides.
+    /// Runs the core and executes its outputs.
     pub(crate) fn step<const N: usize>(self: &Rc<Self>, inputs: [traffic::event::Input; N]) {
         let now = self.now();
         let (outputs, next) = {
@@ -204,14 +204,14 @@
             (outputs, state.core.next_timer())
         };
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
-        if next.is_some_and(|next| next < self.armed_for.get()) {
+        if next.is_some_and(|next| next < self.wake_at.get()) {
             self.rearm.notify_one();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, output: traffic::event::Output) {
+    fn execute(self: &Rc<Self>, output: traffic::event::Output) {
         match output {
             traffic::event::Output::Dispatch(dispatch) => self.dispatch(dispatch),
             traffic::event::Output::Cancel { attempt } => self.cancel(attempt),
@@ -222,43 +222,43 @@
             traffic::event::Output::Revalidate => {
                 self.shared.control.send(shared::ToControl::Revalidate).ok();
             }
-            traffic::event::Output::Crashed(crash) => self.tell(control::Input::Crashed(crash)),
-            traffic::event::Output::Cleared(fingerprint) => self.tell(control::Input::Cleared(fingerprint)),
-            traffic::event::Output::RequestTrial(trial) => self.tell(control::Input::RequestTrial(trial)),
-            traffic::event::Output::TrialUnused(trial) => self.tell(control::Input::TrialUnused(trial)),
+            traffic::event::Output::Crashed(crash) => self.notify_control(control::Input::Crashed(crash)),
+            traffic::event::Output::Cleared(fingerprint) => self.notify_control(control::Input::Cleared(fingerprint)),
+            traffic::event::Output::RequestTrial(trial) => self.notify_control(control::Input::RequestTrial(trial)),
+            traffic::event::Output::TrialUnused(trial) => self.notify_control(control::Input::TrialUnused(trial)),
             traffic::event::Output::Probe { server, address } => {
                 task::spawn_local(attempt::probe(Rc::clone(self), server, address));
             }
-            traffic::event::Output::Breach(breach) => self.shared.metrics.breach(&breach),
+            traffic::event::Output::Breach(breach) => self.shared.metrics.record_breach(&breach),
             traffic::event::Output::Note(note) => self.log(&note),
         }
     }
 
-    fn tell(&self, input: control::Input) {
-        // Control ends with the process only.
+    fn notify_control(&self, input: control::Input) {
+        // The control thread runs until the process exits.
         self.shared.control.send(shared::ToControl::Input(input)).ok();
     }
 
     fn dispatch(self: &Rc<Self>, dispatch: traffic::event::Dispatch) {
         let mut state = self.state.borrow_mut();
-        // The core never dispatches for a caller that it has answered.
+        // The core never dispatches for a caller that has its answer.
         let Some(request) = state.callers.get(&dispatch.caller).map(|caller| Rc::clone(&caller.request)) else {
             return;
         };
         let attempt = dispatch.attempt;
-        let running = task::spawn_local(attempt::run(Rc::clone(self), dispatch, request));
-        state.running.insert(attempt, running.abort_handle());
+        let task = task::spawn_local(attempt::run(Rc::clone(self), dispatch, request));
+        state.tasks.insert(attempt, task.abort_handle());
     }
 
-    /// Drops the attempt's task, and with it its connection.
+    /// Aborts the attempt's task, which closes its connection.
     fn cancel(&self, attempt: id::Attempt) {
-        if let Some(running) = self.state.borrow_mut().running.swap_remove(&attempt) {
-            running.abort();
+        if let Some(task) = self.state.borrow_mut().tasks.swap_remove(&attempt) {
+            task.abort();
         }
     }
 
-    /// An attempt ended. What came back is kept only if the core may still want it.
-    fn attempt_ended(
+    /// Passes an attempt's result to the core. Its payload is kept only while the query is unanswered.
+    fn finish_attempt(
         self: &Rc<Self>,
         attempt: id::Attempt,
         query: id::Query,
@@ -267,10 +267,10 @@
     ) {
         {
             let mut state = self.state.borrow_mut();
-            if state.running.swap_remove(&attempt).is_none() {
+            if state.tasks.swap_remove(&attempt).is_none() {
                 return;
             }
-            // An attempt may run on after its query has its answer.
+            // An attempt may outlive its query.
             if let Some(payload) = payload
                 && state.core.is_live(query)
             {
@@ -295,11 +295,11 @@
         }
         let failure = answer.failure.and_then(|attempt| payloads.swap_remove(&attempt));
         let name = answer.query.map(|query| self.query_name(query));
-        // A caller that hung up does not read its answer; the core was told, or will be.
+        // Fails if the caller closed its connection; `HangUp` notifies the core of that.
         caller.reply.send(seam::Answer { core: answer, parts, failure, name }).ok();
     }
 
-    /// The caller's own name of a request, for the log.
+    /// The name that the caller gave its request, for the log.
     fn request_name(&self, caller: id::Caller) -> CompactString {
         let state = self.state.borrow();
         state.callers.get(&caller).map(|caller| caller.request.ask.name.clone()).unwrap_or_default()
@@ -309,7 +309,7 @@
         format_compact!("{}/{}/{query}", self.shared.settings.name, self.index)
     }
 
-    /// What became of a query of this lane, by its name in an answer.
+    /// Describes a recent query of this lane by the name in its answer; `None` if it is no longer kept.
     fn explain(&self, name: &str) -> Option<String> {
         let key = name.rsplit('/').next()?.strip_prefix('q')?;
         let (index, generation) = key.split_once('.')?;
--- a/crates/node/src/lane/note.rs
+++ b/crates/node/src/lane/note.rs
@@ -1,11 +1,11 @@
-//! The core's decisions as lines of the log.
+//! Log lines for the traffic core's decisions.
 
 use shallothub_core::traffic::note;
 
 use super::Shell;
 
 impl Shell {
-    /// Writes a decision to the log, with the caller's own name for the request.
+    /// Logs a decision, with the name that the caller gave the request.
     pub(super) fn log(&self, note: &note::Note) {
         match note {
             note::Note::Extra { caller, shard, server, cause, after } => {
@@ -15,7 +15,7 @@
             }
             note::Note::Suspect { caller, fingerprint, shard, server, is_trial } => {
                 let request = self.request_name(*caller);
-                tracing::info!(%request, %fingerprint, %shard, %server, is_trial, "an attempt of a suspected request");
+                tracing::info!(%request, %fingerprint, %shard, %server, is_trial, "sent an attempt of a suspected request");
             }
             note::Note::Denied { caller, shard, cause } => {
                 let request = self.request_name(*caller);
@@ -32,9 +32,9 @@
                 tracing::info!(%server, silent_ms, pause_ms, "a silent server is passed over");
             }
             note::Note::Ejected { server, pause } => {
-                tracing::info!(%server, pause_ms = pause.0, "a failing server is left out");
+                tracing::info!(%server, pause_ms = pause.0, "ejected a failing server");
             }
-            note::Note::Restored { server } => tracing::info!(%server, "a server that was left out answers again"),
+            note::Note::Restored { server } => tracing::info!(%server, "an ejected server answers again"),
             note::Note::Paused { gap, expired } => {
                 tracing::warn!(gap_ms = gap.0, expired, "the process was stopped for a while");
             }
--- a/crates/node/src/lane/pool.rs
+++ b/crates/node/src/lane/pool.rs
@@ -1,9 +1,9 @@
-//! Idle connections to backend servers.
+//! Connection pools for backend servers.
 //!
-//! An attempt holds one connection, and the core bounds the attempts in flight at a server by this
+//! An attempt holds one connection, and the core limits the attempts in flight at a server to this
 //! lane's share. A connection is opened only when none is idle, so idle and busy ones together stay
-//! within the share. hyper speaks the protocol on each connection; the table is ours, because a
-//! ready-made pool has no bound on open connections and retries by itself.
+//! within the share. hyper implements the protocol on each connection but not the pooling, because
+//! existing pools do not limit open connections and retry on their own.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -15,56 +15,56 @@
 use shallothub_core::{clock, id, traffic::event};
 use tokio::task;
 
-/// Longest time that a connection is kept idle when the server does not say how long it does.
-const IDLE: clock::Millis = clock::Millis(30_000);
-/// Part of the time that the server keeps an idle connection in which it is used: a request that
-/// crosses the server's close comes to an unknown end.
-const IDLE_USED: f64 = 0.7;
-/// Longest idle time of a connection that gets a request which may run once only. Connections are lost
-/// without a word, and servers go dark; what was sent then comes to an unknown end. Opening a connection
-/// proves that the server is there, and costs one in most such requests: of 12 days with such requests, 361
-/// of them failed in place of 399 with 1000.
-const IDLE_ONCE: clock::Millis = clock::Millis(200);
+/// Idle timeout of a server that does not report its own.
+const DEFAULT_IDLE_TIMEOUT: clock::Millis = clock::Millis(30_000);
+/// Fraction of the server's idle timeout within which a connection is reused: a request sent while the
+/// server closes the connection has an unknown outcome.
+const IDLE_REUSE_FRACTION: f64 = 0.7;
+/// Maximum idle time of a connection that is reused for a non-idempotent request. Connections break and
+/// servers become unreachable without notice; a request sent then has an unknown outcome. A new connection
+/// proves that the server is up, at the cost of one for most such requests: over 12 days with such
+/// requests, 361 of them failed, against 399 with 1000 ms.
+const MAX_IDLE_NON_IDEMPOTENT: clock::Millis = clock::Millis(200);
 
 /// A connection to a backend server. Dropping it closes it at once.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub(crate) sender: http1::SendRequest<Full<Bytes>>,
     pub(crate) driver: task::AbortHandle,
-    pub(crate) _counted: Counted,
-    /// Where it leads.
+    pub(crate) _permit: Permit,
+    /// The server's address, `IP:PORT`.
     pub(crate) address: CompactString,
-    /// When it became idle.
+    /// The time at which it last became idle.
     pub(crate) idle_since: clock::Millis,
-    /// How long the server keeps it idle.
-    pub(crate) idle_most: clock::Millis,
+    /// Time for which the server keeps it open while idle.
+    pub(crate) idle_timeout: clock::Millis,
 }
 
 impl Connection {
     pub(crate) fn new(
         sender: http1::SendRequest<Full<Bytes>>,
         driver: task::AbortHandle,
-        counted: Counted,
+        permit: Permit,
         address: CompactString,
     ) -> Self {
         let idle_since = clock::Millis::ZERO;
-        Self { sender, driver, _counted: counted, address, idle_since, idle_most: IDLE }
+        Self { sender, driver, _permit: permit, address, idle_since, idle_timeout: DEFAULT_IDLE_TIMEOUT }
     }
 
     fn is_usable(&self, now: clock::Millis, dispatch: &event::Dispatch) -> bool {
         let idle = now.since(self.idle_since);
-        let most = self.idle_most.scale(IDLE_USED);
-        let most = if dispatch.idempotent { most } else { most.min(IDLE_ONCE) };
-        // A server that moved may still answer where it was, as whatever it was then.
-        self.sender.is_ready() && idle <= most && self.address == dispatch.address
+        let max_idle = self.idle_timeout.scale(IDLE_REUSE_FRACTION);
+        let max_idle = if dispatch.idempotent { max_idle } else { max_idle.min(MAX_IDLE_NON_IDEMPOTENT) };
+        // After a server has moved, its old address may still answer with the server's old role.
+        self.sender.is_ready() && idle <= max_idle && self.address == dispatch.address
     }
 }
 
-/// One in the counts of connections to a server and to all, until dropped.
+/// Counts one connection, to its server and in total, until dropped.
 #[derive(Debug)]
-pub(crate) struct Counted([Rc<Cell<usize>>; 2]);
+pub(crate) struct Permit([Rc<Cell<usize>>; 2]);
 
-impl Counted {
+impl Permit {
     fn new(counts: [Rc<Cell<usize>>; 2]) -> Self {
         for count in &counts {
             count.set(count.get() + 1);
@@ -73,7 +73,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for Permit {
     fn drop(&mut self) {
         for count in &self.0 {
             count.set(count.get().saturating_sub(1));
@@ -90,32 +90,32 @@
 #[derive(Debug, Default)]
 struct Pool {
     idle: Vec<Connection>,
-    keep: usize,
-    open: Rc<Cell<usize>>,
+    limit: usize,
+    open_count: Rc<Cell<usize>>,
 }
 
-/// Part of the process's descriptors that connections to servers take at most; callers, hosts and the
-/// rest need theirs.
-const DESCRIPTORS_PART: f64 = 0.6;
+/// Fraction of the process's file descriptors for connections to servers; callers, other hosts and the
+/// rest of the process need the others.
+const DESCRIPTOR_FRACTION: f64 = 0.6;
 
-/// Idle connections by server.
+/// The pools of one lane, by server.
 #[derive(Debug)]
 pub(crate) struct Pools {
     pools: IndexMap<id::Server, Pool>,
-    /// Connections to all servers, and the most that there may be.
-    open: Rc<Cell<usize>>,
-    most: usize,
+    /// The number of connections to all servers, and its limit.
+    open_count: Rc<Cell<usize>>,
+    limit: usize,
 }
 
 impl Pools {
-    /// Pools of one of `lanes` lanes of a process that may have `descriptors` open.
+    /// Creates the pools of one of `lanes` lanes in a process limited to `descriptors` file descriptors.
     pub(crate) fn new(descriptors: u32, lanes: usize) -> Self {
-        let most = (f64::from(descriptors) * DESCRIPTORS_PART) as usize / lanes.max(1);
-        Self { pools: IndexMap::new(), open: Rc::default(), most: most.max(1) }
+        let limit = (f64::from(descriptors) * DESCRIPTOR_FRACTION) as usize / lanes.max(1);
+        Self { pools: IndexMap::new(), open_count: Rc::default(), limit: limit.max(1) }
     }
 
-    /// Takes the most recently used idle connection to the server's address that is still open and young
-    /// enough for the request; others are closed on the way.
+    /// Takes the most recently used idle connection that is open, leads to the server's current address and
+    /// has not been idle too long for the request. Closes the unusable ones before it.
     pub(crate) fn take(&mut self, dispatch: &event::Dispatch, now: clock::Millis) -> Option<Connection> {
         let pool = self.pools.get_mut(&dispatch.server)?;
         while let Some(connection) = pool.idle.pop() {
@@ -126,43 +126,43 @@
         None
     }
 
-    /// Counts a connection that is about to be opened, and hands out its place in the count to keep.
-    /// `None` if it would be one more than the share, which the core's bound on attempts excludes.
-    pub(crate) fn open(&mut self, server: id::Server) -> Option<Counted> {
-        if self.open.get() >= self.most {
-            self.close_oldest();
+    /// Counts a connection that is about to be opened; the permit must live as long as the connection.
+    /// `None` if it would exceed the share, which the core's limit on attempts rules out.
+    pub(crate) fn acquire(&mut self, server: id::Server) -> Option<Permit> {
+        if self.open_count.get() >= self.limit {
+            self.close_longest_idle();
         }
         let pool = self.pools.entry(server).or_default();
-        if pool.open.get() >= pool.keep {
+        if pool.open_count.get() >= pool.limit {
             return None;
         }
-        Some(Counted::new([Rc::clone(&pool.open), Rc::clone(&self.open)]))
+        Some(Permit::new([Rc::clone(&pool.open_count), Rc::clone(&self.open_count)]))
     }
 
-    /// Closes the connection that has been idle for longest, to make room for one that is needed. Without
-    /// an idle one there is one more than there should be, which the reserve bears.
-    fn close_oldest(&mut self) {
+    /// Closes the connection that has been idle for longest, to make room for a new one. If none is idle,
+    /// the new one exceeds the limit, which the reserve of descriptors allows for.
+    fn close_longest_idle(&mut self) {
         let idle = self.pools.values_mut().filter(|pool| !pool.idle.is_empty());
         if let Some(pool) = idle.min_by_key(|pool| pool.idle[0].idle_since) {
             pool.idle.remove(0);
         }
     }
 
-    /// Puts a connection back, or closes it if the share has become smaller.
+    /// Returns a connection to its pool, or closes it if the share has shrunk.
     pub(crate) fn put(&mut self, server: id::Server, connection: Connection) {
         let pool = self.pools.entry(server).or_default();
-        if pool.open.get() > pool.keep {
+        if pool.open_count.get() > pool.limit {
             return;
         }
         pool.idle.push(connection);
     }
 
-    /// Keeps at most `keep` connections; busy ones that are too many close when they come back.
-    pub(crate) fn trim(&mut self, server: id::Server, keep: usize) {
+    /// Limits the connections to `server`. Surplus busy ones are closed when they are returned.
+    pub(crate) fn trim(&mut self, server: id::Server, limit: usize) {
         let pool = self.pools.entry(server).or_default();
-        pool.keep = keep;
-        while pool.open.get() > keep && pool.idle.pop().is_some() {}
-        if keep == 0 && pool.open.get() == 0 {
+        pool.limit = limit;
+        while pool.open_count.get() > limit && pool.idle.pop().is_some() {}
+        if limit == 0 && pool.open_count.get() == 0 {
             self.pools.swap_remove(&server);
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The shell of a node: it feeds the cores of `shallothub-core` from sockets and timers and carries
-//! out what they decide.
+//! The shell of a node: feeds events from sockets and timers to the cores of `shallothub-core` and
+//! executes their outputs.
 //!
 //! Threads: one for control state ([`control`]), one for each traffic lane ([`lane`]), and the main
-//! thread, which waits for signals and walks the node through its life ([`life`]). Lanes share
-//! nothing on the way of a query; what operators look at ([`shared`]) is published now and then.
+//! thread, which waits for signals and runs the node's lifecycle ([`life`]). Lanes share no state
+//! while they process a query; state for operators ([`shared`]) is published periodically.
 
 pub mod control;
 pub mod error;
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,11 +1,11 @@
-//! JSON lines on standard output, bounded and never blocking.
+//! Structured logging: JSON lines on standard output, with bounded memory and without blocking callers.
 //!
-//! One field name for each concept, everywhere: `request`, `class`, `query`, `outcome`, `code`,
+//! Each concept has one field name in all log lines: `request`, `class`, `query`, `outcome`, `code`,
 //! `took_ms`, `stamp`, `catalog`, `promise`, `host`, `listen`, `peer`, `server`, `shard`, `detail`.
 //!
-//! Threads put finished lines into one buffer; a thread of its own writes it out a few times a
-//! second, in one call each time. When the reader of the output is slow and the buffer is full, lines
-//! are dropped and counted, and the count is written with the next line that finds room.
+//! Threads append formatted lines to one buffer; a dedicated thread writes it a few times per second,
+//! in one call each time. When the reader of the output is slow and the buffer is full, lines are
+//! dropped, and their number is logged with the next line that fits.
 
 use std::{
     io::{self, Write},
@@ -20,21 +20,21 @@
 
 use crate::error;
 
-/// Bytes of lines that wait to be written: some seconds of a host under twice its usual load.
-const WAITING_MOST: usize = 256 << 10;
-/// Time that lines are gathered before they are written. Each write costs a system call and a
-/// wake-up; a crash loses what was gathered.
-const GATHER: time::Duration = time::Duration::from_millis(250);
+/// Capacity of the buffer in bytes: several seconds of log output of a host at twice its usual load.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// Time for which lines are buffered before they are written. Each write costs a system call and a
+/// wake-up; a crash loses the buffered lines.
+const FLUSH_INTERVAL: time::Duration = time::Duration::from_millis(250);
 
-/// Changes the level of a running node.
+/// Changes the filter of a running node and flushes its log.
 #[derive(Clone, Debug)]
 pub struct Handle {
     reload: reload::Handle<EnvFilter, Registry>,
-    lines: Lines,
+    queue: Queue,
 }
 
 impl Handle {
-    /// Puts another filter in force; `false` if it cannot be read, and the old one stays.
+    /// Replaces the filter. Returns `false` and keeps the old one if `filter` is invalid.
     pub fn set(&self, filter: &str) -> bool {
         let Ok(filter) = EnvFilter::try_new(filter) else {
             return false;
@@ -42,61 +42,61 @@
         self.reload.reload(filter).is_ok()
     }
 
-    /// Writes what waits; for the end of the process.
+    /// Writes the buffered lines; called before the process exits.
     pub fn flush(&self) {
-        self.lines.write_out();
+        self.queue.write_out();
     }
 }
 
-/// Lines that wait to be written.
+/// Lines waiting to be written, shared by all threads.
 #[derive(Clone, Debug, Default)]
-struct Lines(Arc<(Mutex<Waiting>, Condvar)>);
+struct Queue(Arc<(Mutex<Buffer>, Condvar)>);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-impl Lines {
+impl Queue {
     fn push(&self, line: &[u8]) {
-        let (waiting, has_lines) = &*self.0;
-        let mut waiting = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > WAITING_MOST {
-            waiting.dropped += 1;
+        let (buffer, has_lines) = &*self.0;
+        let mut buffer = buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
             return;
         }
-        let was_empty = waiting.bytes.is_empty();
-        let dropped = mem::take(&mut waiting.dropped);
+        let was_empty = buffer.bytes.is_empty();
+        let dropped = mem::take(&mut buffer.dropped);
         if dropped > 0 {
-            let note = format!("{{\"level\":\"WARN\",\"message\":\"lines were dropped\",\"dropped\":{dropped}}}\n");
-            waiting.bytes.extend_from_slice(note.as_bytes());
+            let warning = format!("{{\"level\":\"WARN\",\"message\":\"lines were dropped\",\"dropped\":{dropped}}}\n");
+            buffer.bytes.extend_from_slice(warning.as_bytes());
         }
-        waiting.bytes.extend_from_slice(line);
+        buffer.bytes.extend_from_slice(line);
         if was_empty {
             has_lines.notify_one();
         }
     }
 
-    fn wait(&self) {
-        let (waiting, has_lines) = &*self.0;
-        let guard = waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_empty = |waiting: &mut Waiting| waiting.bytes.is_empty();
+    fn wait_for_lines(&self) {
+        let (buffer, has_lines) = &*self.0;
+        let guard = buffer.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_empty = |buffer: &mut Buffer| buffer.bytes.is_empty();
         drop(has_lines.wait_while(guard, is_empty).unwrap_or_else(PoisonError::into_inner));
     }
 
     fn write_out(&self) {
         let bytes = {
-            let mut waiting = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
-            mem::take(&mut waiting.bytes)
+            let mut buffer = self.0.0.lock().unwrap_or_else(PoisonError::into_inner);
+            mem::take(&mut buffer.bytes)
         };
-        // Nobody is left to be told that the log cannot be written.
+        // A failure to write the log cannot be reported anywhere.
         io::stdout().lock().write_all(&bytes).ok();
         io::stdout().lock().flush().ok();
     }
 }
 
-impl Write for Lines {
+impl Write for Queue {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.push(line);
         Ok(line.len())
@@ -107,12 +107,12 @@
     }
 }
 
-/// Starts logging with `filter`.
+/// Initialises logging with `filter`, in `EnvFilter` syntax.
 pub fn start(filter: &CompactString) -> Result<Handle, error::Error> {
     let parsed = EnvFilter::try_new(filter).ok().context(error::LogSnafu { filter: filter.as_str() })?;
     let (layer, reload) = reload::Layer::new(parsed);
-    let lines = Lines::default();
-    let writer = lines.clone();
+    let queue = Queue::default();
+    let writer = queue.clone();
     let json = fmt::layer()
         .json()
         .flatten_event(true)
@@ -120,17 +120,17 @@
         .with_span_list(false)
         .with_target(false)
         .with_writer(move || writer.clone());
-    // A test may have started a log before; then that one stays.
+    // Within a test process, logging may already be initialised; the first subscriber stays.
     if tracing_subscriber::registry().with(layer).with(json).try_init().is_ok() {
-        let lines = lines.clone();
-        let writing = thread::Builder::new().name("log".to_owned()).spawn(move || {
+        let queue = queue.clone();
+        let spawned = thread::Builder::new().name("log".to_owned()).spawn(move || {
             loop {
-                lines.wait();
-                thread::sleep(GATHER);
-                lines.write_out();
+                queue.wait_for_lines();
+                thread::sleep(FLUSH_INTERVAL);
+                queue.write_out();
             }
         });
-        writing.context(error::ThreadSnafu)?;
+        spawned.context(error::ThreadSnafu)?;
     }
-    Ok(Handle { reload, lines })
+    Ok(Handle { reload, queue })
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics for Prometheus: histograms for each class and service, counters of outcomes and breaches.
+//! Prometheus metrics: histograms per class and service, counters of outcomes and invariant violations.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder,
@@ -19,15 +19,15 @@
     registry: Registry,
     /// Time from request to answer, in ms, by class and outcome.
     pub query_ms: HistogramVec,
-    /// Share of shards in an answer, by class.
+    /// Fraction of the shards that contributed to an answer, by class.
     pub coverage: HistogramVec,
     /// Time from dispatch to reply, in ms, by service.
     pub attempt_ms: HistogramVec,
     /// Answers by class, outcome and code.
     pub answers: IntCounterVec,
-    /// Broken promises by name.
+    /// Invariant violations, by name.
     pub breaches: IntCounterVec,
-    /// Counters and sizes of the traffic cores, by lane and name.
+    /// Counters and table sizes of the traffic cores, by lane and name.
     pub lane: IntGaugeVec,
     /// Counters of the control core, by name.
     pub control: IntGaugeVec,
@@ -35,14 +35,14 @@
     pub peer_bytes: IntCounterVec,
     /// Connections opened to backend servers.
     pub connections: IntCounter,
-    /// Requests passed on to another host and answered by it.
+    /// Requests relayed to another host and answered by it.
     pub relayed: IntCounter,
-    /// Requests turned away before they reached the core, by code.
+    /// Requests rejected before they reached the core, by code.
     pub refusals: IntCounterVec,
 }
 
 impl Metrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Result<Self, error::Error> {
         Self::register().context(error::MetricsSnafu)
     }
@@ -98,19 +98,19 @@
         Ok(metrics)
     }
 
-    /// Counts and logs a broken promise.
-    pub fn breach(&self, breach: &invariant::Breach) {
+    /// Counts and logs an invariant violation.
+    pub fn record_breach(&self, breach: &invariant::Breach) {
         self.breaches.with_label_values(&[breach.name.as_str()]).inc();
         tracing::error!(promise = %breach.name, detail = %breach.detail, "a promise did not hold");
     }
 
-    /// Counts a request that was turned away.
-    pub fn refused(&self, code: &str) {
+    /// Counts a request that was rejected before it reached the core.
+    pub fn record_rejection(&self, code: &str) {
         self.refusals.with_label_values(&[code]).inc();
     }
 
-    /// Counts an answer over `shards` that took `took_ms`.
-    pub fn answered(&self, class: &str, answer: &event::Answer, shards: usize, took_ms: f64) {
+    /// Records an answer to a query over `shards` shards, `took_ms` after the request.
+    pub fn record_answer(&self, class: &str, answer: &event::Answer, shards: usize, took_ms: f64) {
         let outcome = answer.outcome.as_str();
         self.query_ms.with_label_values(&[class, outcome]).observe(took_ms);
         self.answers.with_label_values(&[class, outcome, answer.code.as_str()]).inc();
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Takes over a lane's counters.
+    /// Sets the gauges of a lane from its counters.
     pub fn set_lane(&self, lane: usize, stats: &traffic::summary::Stats) {
         let lane = lane.to_string();
-        let rows = [
+        let gauges = [
             ("queries", stats.queries as i64),
             ("attempts", stats.attempts as i64),
             ("keys", stats.keys as i64),
@@ -146,14 +146,14 @@
             ("pauses", stats.pauses as i64),
             ("ejections", stats.ejections as i64),
         ];
-        for (name, value) in rows {
+        for (name, value) in gauges {
             self.lane.with_label_values(&[lane.as_str(), name]).set(value);
         }
     }
 
-    /// Takes over the control core's counters.
+    /// Sets the gauges of the control core from its counters.
     pub fn set_control(&self, stats: &control::Stats) {
-        let rows = [
+        let gauges = [
             ("platform_calls", stats.platform_calls),
             ("platform_failures", stats.platform_failures),
             ("platform_stale", stats.platform_stale),
@@ -170,15 +170,15 @@
             ("servers", stats.servers),
             ("servers_held", stats.servers_held),
         ];
-        for (name, value) in rows {
+        for (name, value) in gauges {
             self.control.with_label_values(&[name]).set(value as i64);
         }
     }
 
-    /// All metrics in Prometheus' text format.
-    pub fn text(&self) -> String {
+    /// All metrics in the Prometheus text format.
+    pub fn encode(&self) -> String {
         let mut text = Vec::new();
-        // Writing to memory fails only on metrics that contradict each other, and these are fixed.
+        // Encoding to memory fails only on inconsistent metrics, and the set of metrics is fixed.
         TextEncoder::new().encode(&self.registry.gather(), &mut text).ok();
         String::from_utf8(text).unwrap_or_default()
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -100,7 +100,7 @@
         data_centre = %settings.data_centre,
         version = env!("CARGO_PKG_VERSION"),
         interface = ?settings.interface,
-        life = format!("{:016x}", shared.origin.start()),
+        life = format!("{:016x}", shared.origin.incarnation()),
         listen = %shared.addresses.listen,
         peer = %shared.addresses.peer,
         ready = shared.addresses.ready.map(tracing::field::display),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -139,7 +139,7 @@
     /// Where it listens.
     pub addresses: Addresses,
     /// Where times are counted from.
-    pub origin: time::Origin,
+    pub origin: time::Clock,
     /// Metrics of all threads.
     pub metrics: metrics::Metrics,
     /// The control thread's latest state.
@@ -172,7 +172,7 @@
             settings,
             interface,
             addresses,
-            origin: time::Origin::new(),
+            origin: time::Clock::new(),
             metrics,
             status: ArcSwap::default(),
             lane_stats,
