--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: it runs the control core, reads the platform and talks to other hosts.
+//! The control thread: runs the control core, reads from the platform and exchanges messages with other hosts.
 
 pub(crate) mod peer;
 mod platform;
@@ -13,34 +13,34 @@
 
 use crate::{error, shared, time};
 
-/// Longest time between two steps.
+/// Maximum time between two steps of the core if no registry is used.
 const TICK: clock::Millis = clock::Millis(250);
-/// Largest answer of a registry, in bytes: a page or a batch of changes, base64 included.
-const REGISTRY_BYTES: usize = 16 << 20;
-/// Longest time between two publications of the node's status when nothing happens.
-const PUBLISH: clock::Millis = clock::Millis(1000);
-/// Hosts that are named in a line of the log that is about several.
-const HOSTS_NAMED: usize = 8;
-/// Faults of a refused document that `status` shows.
-const FAULTS_SHOWN: usize = 20;
+/// Maximum size of a registry response (a page or a batch of changes) in bytes, including the base64 overhead.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// Maximum time between two publications of the node's status if it does not change.
+const PUBLISH_INTERVAL: clock::Millis = clock::Millis(1000);
+/// Maximum number of hosts named in a log line about several hosts.
+const MAX_LOGGED_HOSTS: usize = 8;
+/// Maximum number of faults of a refused document that are logged and included in the status.
+const MAX_REPORTED_FAULTS: usize = 20;
 
-/// Starts the thread. It ends with the process.
+/// Starts the control thread, which runs until the process exits.
 pub(crate) fn start(
     shared: Arc<shared::Shared>,
-    words: mpsc::UnboundedReceiver<shared::ToControl>,
+    messages: mpsc::UnboundedReceiver<shared::ToControl>,
     listener: peer::Listener,
 ) -> Result<thread::JoinHandle<()>, error::Error> {
     let builder = thread::Builder::new().name("control".to_owned());
     let thread = builder.spawn(move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         let Ok(runtime) = runtime else {
-            tracing::error!("the control thread has no runtime");
+            tracing::error!("cannot create the runtime of the control thread");
             return;
         };
         let local = task::LocalSet::new();
         local.block_on(&runtime, async move {
             let _listener = listener;
-            Thread::new(shared).run(words).await;
+            Thread::new(shared).run(messages).await;
         });
     });
     thread.context(error::ThreadSnafu)
@@ -51,9 +51,9 @@
     core: control::Core,
     senders: peer::Senders,
     refused: Vec<CompactString>,
-    /// The connection on which changes are waited for, and the task that does.
-    follower: Rc<RefCell<platform::Client>>,
-    following: Option<task::AbortHandle>,
+    /// The connection for requests for changes, and the task of the request in flight.
+    follow_client: Rc<RefCell<platform::Client>>,
+    follow_task: Option<task::AbortHandle>,
     published_at: clock::Millis,
 }
 
@@ -77,48 +77,48 @@
             core,
             senders: peer::Senders::default(),
             refused: Vec::new(),
-            follower: Rc::default(),
-            following: None,
+            follow_client: Rc::default(),
+            follow_task: None,
             published_at: clock::Millis::ZERO,
         }
     }
 
-    async fn run(mut self, mut words: mpsc::UnboundedReceiver<shared::ToControl>) {
+    async fn run(mut self, mut messages: mpsc::UnboundedReceiver<shared::ToControl>) {
         loop {
             let mut inputs = Vec::new();
             let now = self.shared.origin.now();
             let wait = match self.shared.interface.registry {
-                Some(_) => self.core.next_timer().since(now).clamp(clock::Millis(1), PUBLISH),
+                Some(_) => self.core.next_timer().since(now).clamp(clock::Millis(1), PUBLISH_INTERVAL),
                 None => TICK,
             };
             tokio::select! {
-                word = words.recv() => {
-                    let Some(word) = word else { return };
-                    self.take(word, &mut inputs);
-                    while let Ok(word) = words.try_recv() {
-                        self.take(word, &mut inputs);
+                message = messages.recv() => {
+                    let Some(message) = message else { return };
+                    self.handle_message(message, &mut inputs);
+                    while let Ok(message) = messages.try_recv() {
+                        self.handle_message(message, &mut inputs);
                     }
                 }
                 () = sleep(time::duration(wait)) => inputs.push(control::Input::Tick),
             }
             let now = self.shared.origin.now();
             let outputs = self.core.step(now, inputs);
-            let has_news = outputs
+            let is_status_changed = outputs
                 .iter()
                 .any(|output| matches!(output, control::Output::View(_) | control::Output::Refused { .. }));
-            // Published before the lanes hear of it, so that who is told that the node is ready finds it so.
-            if has_news || now.since(self.published_at) >= PUBLISH {
+            // Publish before the lanes receive the view, so that the status is current once a client finds the node ready.
+            if is_status_changed || now.since(self.published_at) >= PUBLISH_INTERVAL {
                 self.published_at = now;
-                self.publish();
+                self.publish_status();
             }
             for output in outputs {
-                self.carry_out(output);
+                self.perform(output);
             }
         }
     }
 
-    fn take(&mut self, word: shared::ToControl, inputs: &mut Vec<control::Input>) {
-        match word {
+    fn handle_message(&mut self, message: shared::ToControl, inputs: &mut Vec<control::Input>) {
+        match message {
             shared::ToControl::Input(input) => inputs.push(input),
             shared::ToControl::Revalidate => inputs.push(control::Input::Revalidate),
             shared::ToControl::Seeds(seeds) => inputs.push(control::Input::Seeds(seeds)),
@@ -126,28 +126,28 @@
             shared::ToControl::Peer(bytes) => {
                 self.shared.metrics.peer_bytes.with_label_values(&["received"]).inc_by(bytes.len() as u64);
                 match wire::peer::decode(&bytes) {
-                    Ok(message) => inputs.push(control::Input::Peer(message)),
-                    Err(error) => tracing::debug!(detail = %error, "dropped a message of another host"),
+                    Ok(decoded) => inputs.push(control::Input::Peer(decoded)),
+                    Err(error) => {
+                        tracing::debug!(detail = %error, "dropped a message from another host that cannot be decoded")
+                    }
                 }
             }
             shared::ToControl::Explain(selector, reply) => {
-                // The asker may have gone; then nobody needs the answer.
+                // Fails if the requester has gone away; the reply is then not needed.
                 reply.send(self.core.explain(&selector)).ok();
             }
         }
     }
 
-    fn carry_out(&mut self, output: control::Output) {
+    fn perform(&mut self, output: control::Output) {
         match output {
             control::Output::ReadManifest(kind) => self.read_manifest(kind),
             control::Output::Watch { kind, after } => self.watch(kind, after),
             control::Output::ReadPart { kind, key } => self.read_part(kind, key),
-            control::Output::Reconnect { to } => self.senders.forget(&to),
+            control::Output::Reconnect { to } => self.senders.close(&to),
             control::Output::List { after } => self.list(after),
-            control::Output::Follow { ticket, after, wait, timeout: patience } => {
-                self.follow(ticket, after, wait, patience)
-            }
-            control::Output::Note(note) => log(&note),
+            control::Output::Follow { ticket, after, wait, timeout } => self.follow(ticket, after, wait, timeout),
+            control::Output::Note(note) => log_note(&note),
             control::Output::Send { to, packs, message } => {
                 let bytes = self.senders.send(&to, &message, packs);
                 self.shared.metrics.peer_bytes.with_label_values(&["sent"]).inc_by(bytes as u64);
@@ -171,7 +171,7 @@
             }
             control::Output::TrialGranted(trial) => {
                 for lane in &self.shared.lanes {
-                    lane.send(shared::ToLane::Granted(trial)).ok();
+                    lane.send(shared::ToLane::TrialGranted(trial)).ok();
                 }
             }
             control::Output::Revalidated => {
@@ -181,7 +181,7 @@
             }
             control::Output::Refused { kind, stamp, faults } => {
                 self.refused.clear();
-                for fault in faults.iter().take(FAULTS_SHOWN) {
+                for fault in faults.iter().take(MAX_REPORTED_FAULTS) {
                     tracing::warn!(catalog = %kind, stamp = %stamp, detail = %fault, "refused a document");
                     self.refused.push(format_compact!("{fault}"));
                 }
@@ -192,45 +192,45 @@
 
     fn read_manifest(&self, kind: catalog::Kind) {
         let path = wire::platform::Path::Value { key: kind.manifest_key() }.to_string();
-        self.call(path, clock::Millis::ZERO, move |text| control::Input::Manifest { kind, is_watch: false, text });
+        self.fetch(path, clock::Millis::ZERO, move |text| control::Input::Manifest { kind, is_watch: false, text });
     }
 
     fn watch(&self, kind: catalog::Kind, after: u64) {
         let wait = self.shared.settings.control.watch;
         let path = wire::platform::Path::Watch { key: kind.manifest_key(), after, wait_ms: wait.0 }.to_string();
-        self.call(path, wait, move |text| control::Input::Manifest { kind, is_watch: true, text });
+        self.fetch(path, wait, move |text| control::Input::Manifest { kind, is_watch: true, text });
     }
 
     fn read_part(&self, kind: catalog::Kind, key: CompactString) {
         let path = wire::platform::Path::Value { key: &key }.to_string();
-        self.call(path, clock::Millis::ZERO, move |text| control::Input::Part { kind, key, text });
+        self.fetch(path, clock::Millis::ZERO, move |text| control::Input::Part { kind, key, text });
     }
 
-    fn call(
+    fn fetch(
         &self,
         path: String,
         wait: clock::Millis,
         input: impl FnOnce(Option<Arc<str>>) -> control::Input + 'static,
     ) {
         let address = self.shared.settings.platform;
-        let words = self.shared.control.clone();
+        let sender = self.shared.control.clone();
         task::spawn_local(async move {
             let mut client = platform::Client::default();
             let text = match client
-                .get(address, &path, platform::READ_PATIENCE + time::duration(wait), catalog::MAX_VALUE_BYTES)
+                .get(address, &path, platform::READ_TIMEOUT + time::duration(wait), catalog::MAX_VALUE_BYTES)
                 .await
             {
-                Ok(answer) => text(&path, &answer),
-                Err(error) if error.is_fault() => {
-                    tracing::warn!(detail = %error, "refused a value");
+                Ok(response) => response_text(&path, &response),
+                Err(error) if error.is_value_fault() => {
+                    tracing::warn!(detail = %error, "discarded a value that is too large or incomplete");
                     None
                 }
                 Err(error) => {
-                    tracing::debug!(detail = %error, "the platform did not answer");
+                    tracing::debug!(detail = %error, "a request to the platform failed");
                     None
                 }
             };
-            words.send(shared::ToControl::Input(input(text))).ok();
+            sender.send(shared::ToControl::Input(input(text))).ok();
         });
     }
 
@@ -240,61 +240,61 @@
         };
         let path = registry.list(after.as_deref());
         let address = self.shared.settings.platform;
-        let words = self.shared.control.clone();
+        let sender = self.shared.control.clone();
         task::spawn_local(async move {
             let mut client = platform::Client::default();
-            let answer = client.get(address, &path, platform::READ_PATIENCE, REGISTRY_BYTES).await;
-            let page = match answer {
-                Ok(answer) if answer.status == http::StatusCode::OK => {
-                    match registry.page(&answer.headers, &answer.body) {
+            let response = client.get(address, &path, platform::READ_TIMEOUT, MAX_RESPONSE_BYTES).await;
+            let page = match response {
+                Ok(response) if response.status == http::StatusCode::OK => {
+                    match registry.page(&response.headers, &response.body) {
                         Ok(page) => Some(page),
                         Err(problem) => {
-                            tracing::warn!(detail = problem, "a page of the registry cannot be read");
+                            tracing::warn!(detail = problem, "cannot parse a page of the registry");
                             None
                         }
                     }
                 }
-                Ok(answer) => {
-                    tracing::info!(status = answer.status.as_u16(), "the registry refused a read");
+                Ok(response) => {
+                    tracing::info!(status = response.status.as_u16(), "the registry rejected a request for a page");
                     None
                 }
                 Err(error) => {
-                    tracing::info!(detail = %error, "the registry did not answer a read");
+                    tracing::info!(detail = %error, "a request to the registry for a page failed");
                     None
                 }
             };
-            words.send(shared::ToControl::Input(control::Input::Page(page))).ok();
+            sender.send(shared::ToControl::Input(control::Input::Page(page))).ok();
         });
     }
 
-    fn follow(&mut self, ticket: u64, after: u64, wait: clock::Millis, patience: clock::Millis) {
+    fn follow(&mut self, ticket: u64, after: u64, wait: clock::Millis, timeout: clock::Millis) {
         let Some(registry) = self.shared.interface.registry else {
             return;
         };
-        if let Some(following) = self.following.take() {
-            following.abort();
+        if let Some(follow_task) = self.follow_task.take() {
+            follow_task.abort();
         }
         let path = registry.follow(after, wait);
         let address = self.shared.settings.platform;
-        let words = self.shared.control.clone();
-        let follower = Rc::clone(&self.follower);
+        let sender = self.shared.control.clone();
+        let follow_client = Rc::clone(&self.follow_client);
         let task = task::spawn_local(async move {
-            let mut client = follower.take();
-            let answer = client.get(address, &path, time::duration(wait + patience), REGISTRY_BYTES).await;
-            let changes = match answer {
-                Ok(answer) => changes(registry, &answer),
+            let mut client = follow_client.take();
+            let response = client.get(address, &path, time::duration(wait + timeout), MAX_RESPONSE_BYTES).await;
+            let changes = match response {
+                Ok(response) => parse_changes(registry, &response),
                 Err(error) => {
-                    tracing::info!(detail = %error, "the registry did not answer");
+                    tracing::info!(detail = %error, "a request to the registry for changes failed");
                     mirror::Changes::Failed
                 }
             };
-            follower.replace(client);
-            words.send(shared::ToControl::Input(control::Input::Changes { ticket, changes })).ok();
+            follow_client.replace(client);
+            sender.send(shared::ToControl::Input(control::Input::Changes { ticket, changes })).ok();
         });
-        self.following = Some(task.abort_handle());
+        self.follow_task = Some(task.abort_handle());
     }
 
-    fn publish(&self) {
+    fn publish_status(&self) {
         let stats = self.core.stats();
         self.shared.metrics.set_control(&stats);
         let classes = self.core.view().map(|view| view.classes.keys().cloned().collect());
@@ -317,46 +317,48 @@
     }
 }
 
-fn text(path: &str, answer: &platform::Answer) -> Option<Arc<str>> {
-    if answer.status != http::StatusCode::OK {
-        tracing::debug!(path, status = answer.status.as_u16(), "the platform refused a read");
+fn response_text(path: &str, response: &platform::Response) -> Option<Arc<str>> {
+    if response.status != http::StatusCode::OK {
+        tracing::debug!(path, status = response.status.as_u16(), "the platform rejected a read");
         return None;
     }
-    match str::from_utf8(&answer.body) {
+    match str::from_utf8(&response.body) {
         Ok(text) => Some(Arc::from(text)),
         Err(error) => {
-            tracing::warn!(path, detail = %error, "refused a value that is not UTF-8");
+            tracing::warn!(path, detail = %error, "discarded a value that is not UTF-8");
             None
         }
     }
 }
 
-fn changes(registry: &dyn wire::seam::Registry, answer: &platform::Answer) -> mirror::Changes {
-    let is_answer = matches!(answer.status, http::StatusCode::OK | http::StatusCode::GONE);
-    if !is_answer {
-        tracing::info!(status = answer.status.as_u16(), "the registry refused to tell changes");
+fn parse_changes(registry: &dyn wire::seam::Registry, response: &platform::Response) -> mirror::Changes {
+    let is_expected = matches!(response.status, http::StatusCode::OK | http::StatusCode::GONE);
+    if !is_expected {
+        tracing::info!(status = response.status.as_u16(), "the registry rejected a request for changes");
         return mirror::Changes::Failed;
     }
-    match registry.changes(answer.status, &answer.headers, &answer.body) {
+    match registry.changes(response.status, &response.headers, &response.body) {
         Ok(changes) => changes,
         Err(problem) => {
-            tracing::warn!(detail = problem, "changes of the registry cannot be read");
+            tracing::warn!(detail = problem, "cannot parse changes of the registry");
             mirror::Changes::Failed
         }
     }
 }
 
-/// Writes an event to the log.
-fn log(note: &note::Note) {
+/// Writes an event of the core to the log.
+fn log_note(note: &note::Note) {
     match note {
         note::Note::RegistryLost { at } => tracing::warn!(%at, "lost the registry"),
-        note::Note::RegistryRecovered { at } => tracing::info!(%at, "the registry is back"),
-        note::Note::HistoryCompacted { at } => tracing::info!(%at, "the registry forgot its history; reading it whole"),
+        note::Note::RegistryRecovered { at } => tracing::info!(%at, "the registry answers again"),
+        note::Note::HistoryCompacted { at } => {
+            tracing::info!(%at, "the registry discarded its change history; starting a full read")
+        }
         note::Note::StaleRead { at, read_at } => {
-            tracing::warn!(%at, %read_at, "dropped a whole read of the registry older than the known revision");
+            tracing::warn!(%at, %read_at, "discarded a full read of the registry older than the known revision");
         }
         note::Note::Restored { at, era } => {
-            tracing::warn!(%at, era, "the registry was restored from a backup; reading it whole");
+            tracing::warn!(%at, era, "the registry was restored from a backup; starting a full read");
         }
         note::Note::Outdated { kind, stamp, in_force } => {
             tracing::warn!(%kind, %stamp, %in_force, "the registry has an older document; the one in force stays");
@@ -366,40 +368,44 @@
             tracing::warn!(removed, evacuated, "temporarily overriding outdated contents of the restored registry");
         }
         note::Note::FromPeer { from, stamp } => {
-            tracing::info!(peer = %from, stamp = %stamp, "took a catalog of a peer")
+            tracing::info!(peer = %from, stamp = %stamp, "adopted a catalog from a peer")
+        }
+        note::Note::Standing { standing, known } => {
+            tracing::info!(?standing, known, "the standing of this host changed")
         }
-        note::Note::Standing { standing, known } => tracing::info!(?standing, known, "this host's standing"),
         note::Note::Joined { names, known } => {
-            let first = names[..names.len().min(HOSTS_NAMED)].join(",");
-            tracing::info!(peers = first, joined = names.len(), known, "heard of hosts");
+            let listed = names[..names.len().min(MAX_LOGGED_HOSTS)].join(",");
+            tracing::info!(peers = listed, joined = names.len(), known, "discovered hosts");
         }
         note::Note::PartitionHealed { silence } => {
             tracing::info!(silence_ms = silence.0, "hears from other hosts again")
         }
         note::Note::Silent { names } => tracing::info!(peers = names.join(","), "hosts do not reply"),
         note::Note::Replied { peer } => tracing::info!(%peer, "a silent host replies again"),
-        note::Note::Forgotten { known } => tracing::info!(known, "forgot silent hosts"),
+        note::Note::Forgotten { known } => tracing::info!(known, "removed silent hosts from the membership"),
         note::Note::Held { server, span } => {
-            tracing::info!(%server, hold_ms = span.0, "a server is missing from the list and held");
+            tracing::info!(%server, hold_ms = span.0, "holding a server that is missing from the list");
+        }
+        note::Note::HoldExpired { servers } => {
+            tracing::info!(servers = servers.join(","), "the hold of missing servers expired")
         }
-        note::Note::HoldExpired { servers } => tracing::info!(servers = servers.join(","), "missing servers are gone"),
         note::Note::Evacuated { data_centres, servers, stamp } => {
             let data_centres = data_centres.join(",");
-            tracing::info!(data_centres, servers, hosts = %stamp, "evacuated data centres changed");
+            tracing::info!(data_centres, servers, hosts = %stamp, "the set of evacuated data centres changed");
         }
         note::Note::Crash(crash) => {
             let server = crash.server.as_str();
-            tracing::warn!(fingerprint = %crash.fingerprint, server, "a request was lost with a server that died");
+            tracing::warn!(fingerprint = %crash.fingerprint, server, "a request was in flight on a server that died");
         }
         note::Note::Suspect { fingerprint, standing, servers, attempts } => {
             let standing = standing.as_str();
-            tracing::warn!(%fingerprint, standing, servers, attempts, "a request may crash servers");
+            tracing::warn!(%fingerprint, standing, servers, attempts, "the standing of a suspected request changed");
         }
         note::Note::TrialGranted(trial) => {
             let fingerprint = trial.fingerprint;
-            tracing::warn!(%fingerprint, attempt = trial.attempt, "granted a trial of a request that is suspected");
+            tracing::warn!(%fingerprint, attempt = trial.attempt, "granted a trial of a suspected request");
         }
-        note::Note::Cleared(fingerprint) => tracing::info!(%fingerprint, "a request does not crash servers"),
-        note::Note::Unreadable(fault) => tracing::warn!(detail = %fault, "left an entry out"),
+        note::Note::Cleared(fingerprint) => tracing::info!(%fingerprint, "cleared a suspected request"),
+        note::Note::Unreadable(fault) => tracing::warn!(detail = %fault, "ignored an entry that cannot be parsed"),
     }
 }
--- a/crates/node/src/control/peer.rs
+++ b/crates/node/src/control/peer.rs
@@ -1,8 +1,8 @@
-//! Messages between hosts over nng: one pull socket to listen, one push socket for each host that
-//! is written to.
+//! Messages between hosts over nng: one pull socket to receive, and one push socket per destination
+//! host.
 //!
-//! A push socket drops without a word what it cannot hold. That is harmless here, because a message
-//! is only ever state that will be sent again.
+//! A push socket silently drops messages that exceed its buffer. This is harmless because messages
+//! carry only state that is sent again later.
 
 use std::{net, rc::Rc};
 
@@ -16,37 +16,37 @@
 
 use crate::{error, shared};
 
-/// Largest message, in bytes: a whole catalog of the target size.
-const MESSAGE_MAX: usize = 64 << 20;
-/// Messages held for a host that is being connected to.
-const SEND_BUFFER: i32 = 4;
-/// Hosts to which a connection is kept.
-const SENDERS_MOST: usize = 64;
+/// Maximum size of a message in bytes: a full catalog of the target size.
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Messages buffered for a host while the connection to it is being opened.
+const SEND_BUFFER_MESSAGES: i32 = 4;
+/// Maximum number of open connections to other hosts.
+const MAX_SENDERS: usize = 64;
 
-/// Receives messages until dropped.
+/// Receives messages from other hosts until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Listener {
     socket: nng::Socket,
     address: net::SocketAddr,
-    /// Receiving ends when this is dropped.
-    _receiving: nng::Aio,
+    /// Receiving stops when this is dropped.
+    _receive: nng::Aio,
 }
 
 impl Listener {
     pub(crate) fn new(
         address: net::SocketAddr,
-        words: mpsc::UnboundedSender<shared::ToControl>,
+        sender: mpsc::UnboundedSender<shared::ToControl>,
     ) -> Result<Self, error::Error> {
-        Self::open(address, words).context(error::ListenPeerSnafu { address })
+        Self::open(address, sender).context(error::ListenPeerSnafu { address })
     }
 
-    fn open(address: net::SocketAddr, words: mpsc::UnboundedSender<shared::ToControl>) -> nng::Result<Self> {
+    fn open(address: net::SocketAddr, sender: mpsc::UnboundedSender<shared::ToControl>) -> nng::Result<Self> {
         let socket = nng::Socket::new(nng::Protocol::Pull0)?;
-        socket.set_opt::<RecvMaxSize>(MESSAGE_MAX)?;
+        socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
         let receiver = socket.clone();
         let aio = nng::Aio::new(move |aio, result| match result {
             nng::AioResult::Recv(Ok(message)) => {
-                words.send(shared::ToControl::Peer(message.as_slice().to_vec())).ok();
+                sender.send(shared::ToControl::Peer(message.as_slice().to_vec())).ok();
                 receiver.recv_async(&aio).ok();
             }
             nng::AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) => {}
@@ -56,16 +56,16 @@
         })?;
         let listener = nng::Listener::new(&socket, &format!("tcp://{address}"))?;
         let address = match listener.get_opt::<LocalAddr>()? {
-            // The library gives the port in the order of the network, not of the machine.
+            // nng returns the port in network byte order.
             nng::SocketAddr::Inet(bound) => net::SocketAddr::from((*bound.ip(), u16::from_be(bound.port()))),
             nng::SocketAddr::Inet6(bound) => net::SocketAddr::from((*bound.ip(), u16::from_be(bound.port()))),
             _ => address,
         };
         socket.recv_async(&aio)?;
-        Ok(Self { socket, address, _receiving: aio })
+        Ok(Self { socket, address, _receive: aio })
     }
 
-    /// Where it listens, with the port that was given out if the settings say 0.
+    /// The address in use, with the assigned port if the settings contain port 0.
     pub(crate) fn address(&self) -> net::SocketAddr {
         self.address
     }
@@ -81,36 +81,36 @@
 #[derive(Debug, Default)]
 pub(crate) struct Senders {
     sockets: IndexMap<CompactString, nng::Socket>,
-    /// The last whole catalog of each kind that was sent, packed.
-    packed: Vec<(Whole, Rc<[u8]>)>,
+    /// The last full catalog of each kind that was sent, encoded in packed form.
+    packed: Vec<(CatalogKey, Rc<[u8]>)>,
 }
 
-/// Which whole catalog a message holds.
+/// Identifies the full catalog in a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Whole {
+struct CatalogKey {
     kind: catalog::Kind,
     version: u64,
     digest: u64,
 }
 
-impl Whole {
-    /// `None` if the message holds anything else, or not all texts.
+impl CatalogKey {
+    /// Returns `None` unless the message is a catalog with all its texts and without a base.
     fn of(message: &message::Message) -> Option<Self> {
         let message::Body::Catalog(update) = &message.body else {
             return None;
         };
-        let is_whole = update.base.is_none() && update.parts.iter().all(|part| part.text.is_some());
-        is_whole.then_some(Self { kind: update.kind, version: update.version, digest: update.digest })
+        let is_full = update.base.is_none() && update.parts.iter().all(|part| part.text.is_some());
+        is_full.then_some(Self { kind: update.kind, version: update.version, digest: update.digest })
     }
 }
 
 impl Senders {
-    /// Sends, or drops the message if the host cannot be reached or is behind. The bytes sent.
-    pub(crate) fn send(&mut self, to: &CompactString, message: &message::Message, packs: bool) -> usize {
-        let bytes = match self.bytes(message, packs) {
+    /// Sends the message, or drops it if the socket cannot be opened or its buffer is full. Returns the bytes sent.
+    pub(crate) fn send(&mut self, to: &CompactString, message: &message::Message, pack: bool) -> usize {
+        let bytes = match self.encode(message, pack) {
             Ok(bytes) => bytes,
             Err(error) => {
-                tracing::error!(detail = %error, "a message was not sent");
+                tracing::error!(detail = %error, "cannot encode a message");
                 return 0;
             }
         };
@@ -118,28 +118,28 @@
             return 0;
         };
         if let Err((_, error)) = socket.try_send(&*bytes) {
-            tracing::debug!(peer = %to, detail = %error, "a message was dropped");
+            tracing::debug!(peer = %to, detail = %error, "dropped a message to another host");
             return 0;
         }
         bytes.len()
     }
 
-    /// The bytes of a message. Hosts that start together are sent the same whole catalog, which is packed once.
-    fn bytes(&mut self, message: &message::Message, packs: bool) -> Result<Rc<[u8]>, wire::peer::Error> {
-        let whole = Whole::of(message).filter(|_| packs);
-        if let Some((_, bytes)) = self.packed.iter().find(|(held, _)| Some(held) == whole.as_ref()) {
+    /// Encodes a message. A full catalog is packed once and reused, since hosts that start together all get it.
+    fn encode(&mut self, message: &message::Message, pack: bool) -> Result<Rc<[u8]>, wire::peer::Error> {
+        let catalog_key = CatalogKey::of(message).filter(|_| pack);
+        if let Some((_, bytes)) = self.packed.iter().find(|(key, _)| Some(key) == catalog_key.as_ref()) {
             return Ok(Rc::clone(bytes));
         }
-        let bytes: Rc<[u8]> = wire::peer::encode(message, packs)?.into();
-        if let Some(whole) = whole {
-            self.packed.retain(|(held, _)| held.kind != whole.kind);
-            self.packed.push((whole, Rc::clone(&bytes)));
+        let bytes: Rc<[u8]> = wire::peer::encode(message, pack)?.into();
+        if let Some(catalog_key) = catalog_key {
+            self.packed.retain(|(key, _)| key.kind != catalog_key.kind);
+            self.packed.push((catalog_key, Rc::clone(&bytes)));
         }
         Ok(bytes)
     }
 
-    /// Closes the connection to a host.
-    pub(crate) fn forget(&mut self, to: &CompactString) {
+    /// Closes the connection to a host, if there is one.
+    pub(crate) fn close(&mut self, to: &CompactString) {
         if let Some(socket) = self.sockets.shift_remove(to) {
             socket.close();
         }
@@ -149,11 +149,11 @@
         if !self.sockets.contains_key(to) {
             match open(to) {
                 Ok(socket) => {
-                    self.make_room();
+                    self.evict_if_full();
                     self.sockets.insert(to.clone(), socket);
                 }
                 Err(error) => {
-                    tracing::warn!(peer = %to, detail = %error, "no socket to another host");
+                    tracing::warn!(peer = %to, detail = %error, "cannot open a socket to another host");
                     return None;
                 }
             }
@@ -161,8 +161,8 @@
         self.sockets.get(to)
     }
 
-    fn make_room(&mut self) {
-        if self.sockets.len() < SENDERS_MOST {
+    fn evict_if_full(&mut self) {
+        if self.sockets.len() < MAX_SENDERS {
             return;
         }
         if let Some((_, socket)) = self.sockets.shift_remove_index(0) {
@@ -173,7 +173,7 @@
 
 fn open(to: &str) -> nng::Result<nng::Socket> {
     let socket = nng::Socket::new(nng::Protocol::Push0)?;
-    socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
+    socket.set_opt::<SendBufferSize>(SEND_BUFFER_MESSAGES)?;
     socket.dial_async(&format!("tcp://{to}"))?;
     Ok(socket)
 }
--- a/crates/node/src/lane/accept.rs
+++ b/crates/node/src/lane/accept.rs
@@ -133,7 +133,7 @@
 /// The next connection; `None` when the node closes and the backlog is empty.
 async fn accept(shell: &Shell, listener: &tokio::net::TcpListener) -> Option<(tokio::net::TcpStream, net::SocketAddr)> {
     loop {
-        let closing = shell.shared.closing.notified();
+        let closing = shell.shared.phase_changed.notified();
         let is_closing = shell.shared.phase() >= shared::Phase::Closing;
         let accepted = tokio::select! {
             biased;
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -75,7 +75,7 @@
     link: Option<&link::Link>,
     from: Option<net::SocketAddr>,
 ) -> Response<ResponseBody> {
-    let _guard = shell.shared.enter_request();
+    let _guard = shell.shared.track_request();
     let started = std_time::Instant::now();
     let order = if side == Side::Hosts { relay::take_order(&mut incoming.headers) } else { None };
     if side == Side::Hosts && shell.shared.phase() >= shared::Phase::Draining {
--- a/crates/node/src/lane/link.rs
+++ b/crates/node/src/lane/link.rs
@@ -117,7 +117,7 @@
     async fn wait_idle(&self) -> io::Result<()> {
         let shared = &self.0.shell.shared;
         loop {
-            let closing = shared.closing.notified();
+            let closing = shared.phase_changed.notified();
             let is_closing = shared.phase() >= shared::Phase::Closing;
             let left = if is_closing { clock::Millis::ZERO } else { self.idle_left() };
             tokio::select! {
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -1,7 +1,7 @@
-//! The life of a node as types: a step that is out of order does not compile.
+//! The node's lifecycle as types, so that a transition out of order does not compile.
 //!
-//! `Starting -> Ready -> Draining -> Stopped`. Starting: not ready, no view yet. Ready: the balancer
-//! may send callers. Draining: not ready again but still serving, first for the balancer's lag and
+//! `Starting -> Ready -> Draining -> Stopped`. Starting: not ready, no view yet. Ready: the load
+//! balancer may send requests. Draining: not ready but still serving, first for the balancer's lag and
 //! then until the last request is answered; listeners close in between. Stopped: nothing in flight.
 
 use std::{marker::PhantomData, sync::Arc};
@@ -11,26 +11,26 @@
 
 use crate::{shared, time};
 
-/// How often a waiting node looks again.
-const LOOK: clock::Millis = clock::Millis(20);
-/// How long no request must be in flight before the node counts as quiet: a request may be on its
-/// way on a connection that was idle.
-const QUIET: clock::Millis = clock::Millis(200);
+/// Interval at which a waiting node polls its state.
+const POLL_INTERVAL: clock::Millis = clock::Millis(20);
+/// How long no request may be in flight before the node counts as idle: a request may still be arriving
+/// on an idle connection.
+const IDLE_PERIOD: clock::Millis = clock::Millis(200);
 
-/// No view yet.
+/// The stage before the first view is in force.
 #[derive(Debug)]
 pub struct Starting;
-/// Serving.
+/// The stage in which the load balancer may send requests.
 #[derive(Debug)]
 pub struct Ready;
-/// Asked to stop.
+/// The stage after a stop was requested, until no request is in flight or the drain times out.
 #[derive(Debug)]
 pub struct Draining;
-/// Nothing in flight.
+/// The stage after draining; requests that exceeded the maximum drain time may still be in flight.
 #[derive(Debug)]
 pub struct Stopped;
 
-/// A node in one stage of its life.
+/// A node in the lifecycle stage `S`.
 #[derive(Debug)]
 pub struct Node<S> {
     shared: Arc<shared::Shared>,
@@ -38,64 +38,64 @@
 }
 
 impl<S> Node<S> {
-    fn enter<T>(self, phase: shared::Phase) -> Node<T> {
-        self.shared.enter(phase);
+    fn transition<T>(self, phase: shared::Phase) -> Node<T> {
+        self.shared.set_phase(phase);
         Node { shared: self.shared, stage: PhantomData }
     }
 }
 
 impl Node<Starting> {
-    /// A node whose threads run.
+    /// Wraps a node whose threads are already running.
     pub fn new(shared: Arc<shared::Shared>) -> Self {
         Self { shared, stage: PhantomData }
     }
 
-    /// Waits for the first view.
+    /// Waits until a view is in force.
     pub async fn ready(self) -> Node<Ready> {
         while !self.shared.has_view() {
-            sleep(time::duration(LOOK)).await;
+            sleep(time::duration(POLL_INTERVAL)).await;
         }
         tracing::info!(host = %self.shared.settings.name, "ready");
-        self.enter(shared::Phase::Ready)
+        self.transition(shared::Phase::Ready)
     }
 
-    /// Stops before there was a view.
+    /// Starts draining before a view is in force.
     pub fn abandon(self) -> Node<Draining> {
-        self.enter(shared::Phase::Draining)
+        self.transition(shared::Phase::Draining)
     }
 }
 
 impl Node<Ready> {
-    /// Turns the balancer away; callers that still come are served.
+    /// Reports the node as not ready to the load balancer; requests that still arrive are served.
     pub fn drain(self) -> Node<Draining> {
         tracing::info!(host = %self.shared.settings.name, "draining");
         self.shared.control.send(shared::ToControl::Leaving).ok();
-        self.enter(shared::Phase::Draining)
+        self.transition(shared::Phase::Draining)
     }
 }
 
 impl Node<Draining> {
-    /// Serves through the balancer's lag, closes the listeners, and waits for the last answer.
+    /// Serves for the balancer's lag, closes the listeners, and waits until the node is idle or the drain times out.
     pub async fn stop(self) -> Node<Stopped> {
         let settings = &self.shared.settings;
         sleep(time::duration(settings.balancer_lag_ms)).await;
-        self.shared.enter(shared::Phase::Closing);
+        self.shared.set_phase(shared::Phase::Closing);
         let mut waited = clock::Millis::ZERO;
-        let mut quiet = clock::Millis::ZERO;
-        while quiet < QUIET && waited < settings.drain_most_ms {
-            sleep(time::duration(LOOK)).await;
-            waited = waited + LOOK;
-            quiet = if self.shared.in_flight() == 0 { quiet + LOOK } else { clock::Millis::ZERO };
+        let mut idle = clock::Millis::ZERO;
+        while idle < IDLE_PERIOD && waited < settings.drain_most_ms {
+            sleep(time::duration(POLL_INTERVAL)).await;
+            waited = waited + POLL_INTERVAL;
+            idle = if self.shared.in_flight() == 0 { idle + POLL_INTERVAL } else { clock::Millis::ZERO };
         }
         let in_flight = self.shared.in_flight();
         tracing::info!(host = %settings.name, in_flight, "stopped");
-        self.enter(shared::Phase::Stopped)
+        self.transition(shared::Phase::Stopped)
     }
 }
 
 impl Node<Stopped> {
-    /// Requests that were cut off because they outlasted the longest drain.
-    pub fn cut_off(&self) -> u32 {
+    /// Number of requests that were still in flight when the maximum drain time passed.
+    pub fn unfinished(&self) -> u32 {
         self.shared.in_flight()
     }
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,8 @@
-//! Settings that change while the node runs.
+//! Reloading of the settings while the node runs.
 //!
-//! The file is read again on SIGHUP, and when its time of change shows that it is another one: a
-//! platform may write it without a word. What can change in a running node is taken over; for the
-//! rest a line says that it needs a restart. Settings with faults change nothing.
+//! The file is reloaded on SIGHUP and when its modification time changes, since a platform may
+//! replace it without a signal. Changes to the log filter and the seeds are applied; for any other a
+//! log line reports that a restart is needed. Settings with faults are not applied.
 
 use std::{fs, sync::Arc, time};
 
@@ -11,34 +11,34 @@
 
 use crate::{log, run, shared};
 
-/// How often the file's time of change is looked at.
-pub(crate) const LOOK: time::Duration = time::Duration::from_secs(5);
+/// Interval at which the file's modification time is checked.
+pub(crate) const POLL_INTERVAL: time::Duration = time::Duration::from_secs(5);
 
-/// The settings file and what is in force of it.
-pub(crate) struct Watch<'l> {
+/// The settings file and the settings in force.
+pub(crate) struct Watcher<'l> {
     shared: Arc<shared::Shared>,
     log: &'l log::Handle,
     path: &'l str,
-    modified: Option<time::SystemTime>,
+    modified_at: Option<time::SystemTime>,
     in_force: node::Settings,
 }
 
-impl<'l> Watch<'l> {
+impl<'l> Watcher<'l> {
     pub(crate) fn new(shared: Arc<shared::Shared>, log: &'l log::Handle, path: &'l str) -> Self {
         let in_force = shared.settings.clone();
-        Self { shared, log, path, modified: modified(path), in_force }
+        Self { shared, log, path, modified_at: modification_time(path), in_force }
     }
 
-    /// Reads the file again if it changed.
-    pub(crate) fn look(&mut self) {
-        if modified(self.path) != self.modified {
-            self.read("the file changed");
+    /// Reloads the file if its modification time changed.
+    pub(crate) fn poll(&mut self) {
+        if modification_time(self.path) != self.modified_at {
+            self.reload("the file changed");
         }
     }
 
-    /// Reads the file again.
-    pub(crate) fn read(&mut self, cause: &str) {
-        self.modified = modified(self.path);
+    /// Reloads the file and applies the log filter and the seeds. `cause` is logged.
+    pub(crate) fn reload(&mut self, cause: &str) {
+        self.modified_at = modification_time(self.path);
         let settings = match run::settings(self.path) {
             Ok(settings) => settings,
             Err(error) => {
@@ -47,7 +47,7 @@
             }
         };
         if !self.log.set(&settings.log) {
-            tracing::warn!(cause, filter = %settings.log, "the log filter cannot be read; the old one stays");
+            tracing::warn!(cause, filter = %settings.log, "cannot parse the log filter; the old one stays in force");
         }
         let seeds = settings.seeds.iter().map(|seed| format_compact!("{seed}")).collect();
         self.shared.control.send(shared::ToControl::Seeds(seeds)).ok();
@@ -57,15 +57,15 @@
         self.in_force.seeds = settings.seeds;
     }
 
-    /// Whether anything else differs from what is in force.
+    /// Whether a setting other than the log filter and the seeds differs from the one in force.
     fn needs_restart(&self, settings: &node::Settings) -> bool {
-        let mut same = settings.clone();
-        same.log = self.in_force.log.clone();
-        same.seeds = self.in_force.seeds.clone();
-        same != self.in_force
+        let mut expected = settings.clone();
+        expected.log = self.in_force.log.clone();
+        expected.seeds = self.in_force.seeds.clone();
+        expected != self.in_force
     }
 }
 
-fn modified(path: &str) -> Option<time::SystemTime> {
+fn modification_time(path: &str) -> Option<time::SystemTime> {
     fs::metadata(path).and_then(|metadata| metadata.modified()).ok()
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting a node, and walking it through its life.
+//! Starts a node and runs it through its lifecycle.
 
 use std::{fs, net, sync::Arc};
 
@@ -18,12 +18,13 @@
     }
 }
 
-/// The product's own interface.
+/// Returns the product's own interface, which the setting `interface: own` selects.
 pub fn own_interface() -> seam::Interface {
     seam::Interface { callers: &own::Own, leafs: &own::Own, reader: document::READER, registry: None }
 }
 
-/// Runs a node until SIGTERM or SIGINT and its drain. SIGHUP reads the settings again. `platform` is the interface of the users' platform.
+/// Runs a node until SIGTERM or SIGINT, then drains it. SIGHUP reloads the settings. `platform` is the interface that
+/// the setting `interface: platform` selects.
 pub fn run(path: &str, platform: seam::Interface) -> Result<(), error::Error> {
     let settings = settings(path)?;
     let log = log::start(&settings.log)?;
@@ -33,7 +34,7 @@
     };
     let shared = start(settings, interface)?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build().context(error::ThreadSnafu)?;
-    let result = runtime.block_on(live(shared, &log, path));
+    let result = runtime.block_on(run_lifecycle(shared, &log, path));
     log.flush();
     result
 }
@@ -44,7 +45,7 @@
     Ok(listener)
 }
 
-/// Starts the threads of a node.
+/// Binds the listeners and starts the threads of a node.
 pub fn start(settings: node::Settings, interface: seam::Interface) -> Result<Arc<shared::Shared>, error::Error> {
     let address = settings.listen;
     let listener = bind(address)?;
@@ -52,48 +53,48 @@
     let relay = settings.relay.map(bind).transpose()?;
     let admin = settings.admin.and_then(|address| match bind(address) {
         Ok(listener) => Some(listener),
-        // Without its pages the node still serves callers.
+        // The node can serve callers without the admin pages.
         Err(error) => {
-            tracing::warn!(detail = %error, "metrics and status are not served");
+            tracing::warn!(detail = %error, "cannot listen on the admin address; metrics and status are not served");
             None
         }
     });
-    let (control, control_words) = mpsc::unbounded_channel();
+    let (control, control_receiver) = mpsc::unbounded_channel();
     let mut lanes = Vec::new();
-    let mut lane_words = Vec::new();
+    let mut lane_receivers = Vec::new();
     for _ in 0..settings.traffic_threads {
         let (sender, receiver) = mpsc::unbounded_channel();
         lanes.push(sender);
-        lane_words.push(receiver);
+        lane_receivers.push(receiver);
     }
     let peers = control::peer::Listener::new(settings.peer, control.clone())?;
     let addresses = shared::Addresses {
         listen: listener.local_addr().context(error::ListenSnafu { address })?,
         peer: peers.address(),
-        ready: local(ready.as_ref()),
-        admin: local(admin.as_ref()),
-        relay: local(relay.as_ref()),
+        ready: local_address(ready.as_ref()),
+        admin: local_address(admin.as_ref()),
+        relay: local_address(relay.as_ref()),
     };
     let shared = shared::Shared::new(settings, interface, addresses, metrics::Metrics::new()?, lanes, control);
     let shared = Arc::new(shared);
-    report_start(&shared);
-    control::start(Arc::clone(&shared), control_words, peers)?;
+    log_start(&shared);
+    control::start(Arc::clone(&shared), control_receiver, peers)?;
     let (mut ready, mut admin, mut relay) = (ready, admin, relay);
-    for (index, words) in lane_words.into_iter().enumerate() {
+    for (index, receiver) in lane_receivers.into_iter().enumerate() {
         let callers = listener.try_clone().context(error::ListenSnafu { address })?;
-        // The first lane serves the pages for the whole node.
+        // Only the first lane serves the addresses for readiness, operators and relayed requests.
         let listeners = lane::Listeners { callers, ready: ready.take(), admin: admin.take(), relay: relay.take() };
-        lane::start(Arc::clone(&shared), index, listeners, words)?;
+        lane::start(Arc::clone(&shared), index, listeners, receiver)?;
     }
     Ok(shared)
 }
 
-/// The address of a listener, with the port that was given out if the settings say 0.
-fn local(listener: Option<&net::TcpListener>) -> Option<net::SocketAddr> {
+/// The address of a listener, with the assigned port if the settings contain port 0.
+fn local_address(listener: Option<&net::TcpListener>) -> Option<net::SocketAddr> {
     listener.and_then(|listener| listener.local_addr().ok())
 }
 
-fn report_start(shared: &shared::Shared) {
+fn log_start(shared: &shared::Shared) {
     let settings = &shared.settings;
     tracing::info!(
         host = %settings.name,
@@ -111,10 +112,10 @@
     );
 }
 
-async fn live(shared: Arc<shared::Shared>, log: &log::Handle, path: &str) -> Result<(), error::Error> {
+async fn run_lifecycle(shared: Arc<shared::Shared>, log: &log::Handle, path: &str) -> Result<(), error::Error> {
     let mut term = unix::signal(unix::SignalKind::terminate()).context(error::ThreadSnafu)?;
     let mut interrupt = unix::signal(unix::SignalKind::interrupt()).context(error::ThreadSnafu)?;
-    let mut hang_up = unix::signal(unix::SignalKind::hangup()).context(error::ThreadSnafu)?;
+    let mut hangup = unix::signal(unix::SignalKind::hangup()).context(error::ThreadSnafu)?;
     let starting = life::Node::new(Arc::clone(&shared));
     let ready = tokio::select! {
         ready = starting.ready() => Some(ready),
@@ -124,22 +125,22 @@
     let draining = match ready {
         None => life::Node::new(shared).abandon(),
         Some(ready) => {
-            let mut watch = reload::Watch::new(shared, log, path);
+            let mut watcher = reload::Watcher::new(shared, log, path);
             loop {
                 tokio::select! {
                     _ = term.recv() => break,
                     _ = interrupt.recv() => break,
-                    _ = hang_up.recv() => watch.read("SIGHUP"),
-                    () = sleep(reload::LOOK) => watch.look(),
+                    _ = hangup.recv() => watcher.reload("SIGHUP"),
+                    () = sleep(reload::POLL_INTERVAL) => watcher.poll(),
                 }
             }
             ready.drain()
         }
     };
     let stopped = draining.stop().await;
-    let cut_off = stopped.cut_off();
-    if cut_off > 0 {
-        tracing::error!(in_flight = cut_off, "requests outlasted the longest drain");
+    let unfinished = stopped.unfinished();
+    if unfinished > 0 {
+        tracing::error!(in_flight = unfinished, "requests were still in flight after the maximum drain time");
     }
     Ok(())
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a node show each other outside the way of a query.
+//! State that the threads of a node share outside the query path.
 
 use std::{
     net,
@@ -19,20 +19,20 @@
 
 use crate::{metrics, time};
 
-/// Where a node is in its life, for the threads that only look.
+/// The lifecycle phase of a node, for threads that do not control it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[repr(u8)]
 pub enum Phase {
-    /// No view yet.
+    /// Not ready: no view is in force yet.
     Starting,
-    /// Serving.
+    /// Ready: the load balancer may send requests.
     Ready,
-    /// Not ready to the balancer, still accepting.
+    /// Not ready, but still accepting connections.
     Draining,
-    /// Not accepting; finishing what is in flight.
+    /// Not accepting connections; finishing the requests in flight.
     Closing,
-    /// Nothing in flight.
+    /// No request is in flight, or the maximum drain time has passed.
     Stopped,
 }
 
@@ -48,116 +48,117 @@
     }
 }
 
-/// A word to a traffic lane.
+/// A message to a traffic lane.
 #[derive(Debug)]
 pub enum ToLane {
     /// A newer view is in force.
     View(Arc<view::View>),
-    /// The view was confirmed after a pause.
+    /// The view was confirmed after a pause of the process.
     Revalidated,
-    /// What this host does from now on with requests that may crash servers.
+    /// The new standings of requests that may crash servers; they replace all earlier ones.
     Suspects(Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>),
-    /// An attempt of a request that is suspected may be sent.
-    Granted(suspect::Trial),
-    /// What became of a query.
+    /// The attempt of a suspected request that requested a trial may be sent.
+    TrialGranted(suspect::Trial),
+    /// A request to explain the query of this name; the reply is `None` if the lane does not know it.
     Explain(CompactString, oneshot::Sender<Option<String>>),
 }
 
-/// A word to the control thread.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ToControl {
-    /// A message of another host.
+    /// An encoded message from another host.
     Peer(Vec<u8>),
-    /// An input from a task of the control thread.
+    /// An input of the control core, from a task of the control thread or from a lane.
     Input(control::Input),
-    /// A lane woke from a pause.
+    /// A lane resumed after a pause of the process and needs the view confirmed.
     Revalidate,
-    /// The node is asked to stop.
+    /// The node is draining.
     Leaving,
-    /// The settings name other hosts to ask.
+    /// The seeds in the settings changed; the new ones, `IP:PORT`.
     Seeds(Vec<CompactString>),
-    /// Why servers are reached by a selector or not.
+    /// A request to explain which servers the selector of this name selects; the reply is `None` if there is no such
+    /// selector.
     Explain(CompactString, oneshot::Sender<Option<Vec<(CompactString, plan::Reason)>>>),
 }
 
-/// A node's state, for operators. Published by the control thread.
+/// The node's status for operators, published by the control thread.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Status {
-    /// The host's name.
+    /// Name of the host in the settings.
     pub host: CompactString,
-    /// Its data centre.
+    /// Name of the host's data centre.
     pub data_centre: CompactString,
-    /// Configuration in force, `VERSION-DIGEST`.
+    /// Stamp of the configuration in force, `VERSION-DIGEST`.
     pub config: CompactString,
-    /// List of hosts in force.
+    /// Stamp of the list of hosts in force, `VERSION-DIGEST`.
     pub hosts: CompactString,
-    /// Time since the platform was last known to have no newer configuration.
+    /// Time since the configuration was last confirmed to be current, in ms; `None` if it never was.
     pub config_age_ms: Option<clock::Millis>,
-    /// The same for the list of hosts.
+    /// Time since the list of hosts was last confirmed to be current, in ms; `None` if it never was.
     pub hosts_age_ms: Option<clock::Millis>,
-    /// Whether this host watches the platform.
+    /// Whether this host watches the platform on behalf of its data centre.
     pub watcher: bool,
-    /// The last document that was refused, and why.
+    /// The first faults of the last refused document.
     pub refused: Vec<CompactString>,
     /// Counters of the control core.
     pub control: control::Stats,
     /// Whether a view is in force.
     pub has_view: bool,
-    /// Other hosts that this one knows from hosts, and what they do.
+    /// Names and states of the hosts discovered by gossip; empty if documents list the hosts.
     pub members: Vec<(CompactString, control::message::State)>,
-    /// Selectors in force.
+    /// Names of the selectors in force.
     pub classes: Vec<CompactString>,
-    /// Data centres that are evacuated, by the list of hosts and the configuration in force.
+    /// Evacuated data centres, according to the list of hosts and the configuration in force.
     pub evacuated: Vec<CompactString>,
-    /// Requests that may crash servers.
+    /// This host's records of requests that may crash servers.
     pub suspects: Vec<suspect::Record>,
 }
 
-/// Where a node listens, with the ports that were given out where the settings say 0.
+/// The addresses that a node listens on, with the assigned port where the settings contain port 0.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For callers.
+    /// Accepts callers' requests.
     pub listen: net::SocketAddr,
-    /// For messages of other hosts.
+    /// Accepts messages from other hosts.
     pub peer: net::SocketAddr,
-    /// For the balancer, if apart.
+    /// Serves readiness to the load balancer; `None` if it has no address of its own.
     pub ready: Option<net::SocketAddr>,
-    /// For operators, if apart.
+    /// Serves operators' pages; `None` if they have no address of their own.
     pub admin: Option<net::SocketAddr>,
-    /// For requests of other hosts, if it takes them.
+    /// Accepts requests relayed by other hosts; `None` if relaying is disabled.
     pub relay: Option<net::SocketAddr>,
 }
 
-/// See the module.
+/// The shared state of one node.
 #[derive(Debug)]
 pub struct Shared {
-    /// The node's settings.
+    /// The settings read at start; reloaded ones are not stored here.
     pub settings: node::Settings,
-    /// The interface that it speaks.
+    /// The wire interface that the settings select.
     pub interface: seam::Interface,
-    /// Where it listens.
+    /// The addresses in use.
     pub addresses: Addresses,
-    /// Where times are counted from.
+    /// The origin of the node's clock, common to all threads.
     pub origin: time::Origin,
-    /// Metrics of all threads.
+    /// Metrics, updated by all threads.
     pub metrics: metrics::Metrics,
-    /// The control thread's latest state.
+    /// The status last published by the control thread.
     pub status: ArcSwap<Status>,
-    /// The lanes' latest counters.
+    /// The counters last published by each lane.
     pub lane_stats: Vec<ArcSwap<traffic::summary::Stats>>,
-    /// Words to the lanes.
+    /// Channel to each lane.
     pub lanes: Vec<mpsc::UnboundedSender<ToLane>>,
-    /// Words to the control thread.
+    /// Channel to the control thread.
     pub control: mpsc::UnboundedSender<ToControl>,
-    /// Wakes whoever waits for a caller when the node closes.
-    pub(crate) closing: Notify,
+    /// Notified on each change of phase; wakes tasks that wait for connections or requests.
+    pub(crate) phase_changed: Notify,
     phase: AtomicU8,
     in_flight: AtomicU32,
 }
 
 impl Shared {
-    /// State of a node that starts.
+    /// Creates the state of a node in phase [`Phase::Starting`].
     pub fn new(
         settings: node::Settings,
         interface: seam::Interface,
@@ -178,40 +179,40 @@
             lane_stats,
             lanes,
             control,
-            closing: Notify::new(),
+            phase_changed: Notify::new(),
             phase: AtomicU8::new(Phase::Starting as u8),
             in_flight: AtomicU32::new(0),
         }
     }
 
-    /// Where the node is in its life.
+    /// The current lifecycle phase.
     pub fn phase(&self) -> Phase {
         Phase::from_byte(self.phase.load(Ordering::SeqCst))
     }
 
-    pub(crate) fn enter(&self, phase: Phase) {
+    pub(crate) fn set_phase(&self, phase: Phase) {
         self.phase.store(phase as u8, Ordering::SeqCst);
-        self.closing.notify_waiters();
+        self.phase_changed.notify_waiters();
     }
 
-    /// Whether a view is in force.
+    /// Whether a view is in force, according to the published status.
     pub fn has_view(&self) -> bool {
         self.status.load().has_view
     }
 
-    /// Callers' requests that are not answered yet.
+    /// Number of requests that are not answered yet, from callers and relaying hosts.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Counts a caller's request until the guard is dropped.
-    pub(crate) fn enter_request(self: &Arc<Self>) -> Guard {
+    /// Counts a request as in flight until the guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> Guard {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         Guard(Arc::clone(self))
     }
 }
 
-/// A caller's request that is not answered yet.
+/// Counts one request as in flight while it exists.
 #[derive(Debug)]
 pub(crate) struct Guard(Arc<Shared>);
 
--- a/src/bin/shallotctl.rs
+++ b/src/bin/shallotctl.rs
@@ -1,4 +1,4 @@
-//! The operator's tool: `shallotctl check | manifest | explain | status | load`.
+//! Command-line tool for operators: `shallotctl check | manifest | explain | status | release | load`.
 
 use std::process;
 
--- a/src/bin/shallothub.rs
+++ b/src/bin/shallothub.rs
@@ -1,4 +1,4 @@
-//! The node: `shallothub --settings FILE [--check]`.
+//! The node's executable: `shallothub --settings FILE [--check]`.
 
 use std::process;
 
@@ -33,6 +33,6 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings, print every fault, and end"),
+                .help("Check the settings, print every fault, and exit"),
         )
 }
