--- a/crates/node/src/lane/accept.rs
+++ b/crates/node/src/lane/accept.rs
@@ -133,7 +133,7 @@
 /// Accepts the next connection; `None` once the node is closing and the backlog is empty.
 async fn accept(shell: &Shell, listener: &tokio::net::TcpListener) -> Option<(tokio::net::TcpStream, net::SocketAddr)> {
     loop {
-        let closing = shell.shared.closing.notified();
+        let closing = shell.shared.phase_changed.notified();
         let is_closing = shell.shared.phase() >= shared::Phase::Closing;
         let accepted = tokio::select! {
             biased;
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -75,7 +75,7 @@
     connection: Option<&inbound::Connection>,
     from: Option<net::SocketAddr>,
 ) -> Response<ResponseBody> {
-    let _guard = shell.shared.enter_request();
+    let _guard = shell.shared.track_request();
     let started = std_time::Instant::now();
     let relay_params = if source == Source::Hosts { relay::take_order(&mut incoming.headers) } else { None };
     if source == Source::Hosts && shell.shared.phase() >= shared::Phase::Draining {
