--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -238,7 +238,7 @@
         let Some(registry) = self.shared.interface.registry else {
             return;
         };
-        let path = registry.list(after.as_deref());
+        let path = registry.list_path(after.as_deref());
         let address = self.shared.settings.platform;
         let words = self.shared.control.clone();
         task::spawn_local(async move {
@@ -274,7 +274,7 @@
         if let Some(following) = self.following.take() {
             following.abort();
         }
-        let path = registry.follow(after, wait);
+        let path = registry.watch_path(after, wait);
         let address = self.shared.settings.platform;
         let words = self.shared.control.clone();
         let follower = Rc::clone(&self.follower);
@@ -331,7 +331,7 @@
     }
 }
 
-fn changes(registry: &dyn wire::seam::Registry, answer: &platform::Answer) -> mirror::Changes {
+fn changes(registry: &dyn wire::protocol::Registry, answer: &platform::Answer) -> mirror::Changes {
     let is_answer = matches!(answer.status, http::StatusCode::OK | http::StatusCode::GONE);
     if !is_answer {
         tracing::info!(status = answer.status.as_u16(), "the registry refused to tell changes");
--- a/crates/node/src/lane/accept.rs
+++ b/crates/node/src/lane/accept.rs
@@ -54,7 +54,7 @@
     if let Some(listener) = listeners.relay {
         task::spawn_local(serve_requests(Rc::clone(&shell), listener, ingress::Side::Hosts));
     }
-    if shell.shared.interface.callers.is_exclusive() {
+    if shell.shared.interface.frontend.is_exclusive() {
         serve_requests(shell, listeners.callers, ingress::Side::Callers).await;
         return;
     }
--- a/crates/node/src/lane/attempt.rs
+++ b/crates/node/src/lane/attempt.rs
@@ -12,7 +12,7 @@
 use hyper::client::conn::http1;
 use hyper_util::rt;
 use shallothub_core::{clock, id, invariant, traffic::event};
-use shallothub_wire::{relay, seam};
+use shallothub_wire::{protocol, relay};
 use tokio::{net, task, time::timeout};
 
 use super::{Shell, pool};
@@ -22,20 +22,21 @@
 const CONNECT: std_time::Duration = std_time::Duration::from_millis(250);
 
 /// Runs `dispatch` and tells the core how it ended. Aborting the task closes the connection.
-pub(super) async fn run(shell: Rc<Shell>, dispatch: event::Dispatch, request: Rc<seam::Request>) {
+pub(super) async fn run(shell: Rc<Shell>, dispatch: event::Dispatch, request: Rc<protocol::Request>) {
     let reply = send(&shell, &dispatch, &request).await;
     shell.attempt_ended(dispatch.attempt, dispatch.query, reply.end, reply.payload);
 }
 
-fn ended(end: event::Reply) -> seam::Reply {
-    seam::Reply { end, payload: None, is_own: false, idle: None }
+fn ended(end: event::Reply) -> protocol::Reply {
+    protocol::Reply { end, payload: None, is_matched: false, keep_alive: None }
 }
 
-async fn send(shell: &Rc<Shell>, dispatch: &event::Dispatch, request: &seam::Request) -> seam::Reply {
+async fn send(shell: &Rc<Shell>, dispatch: &event::Dispatch, request: &protocol::Request) -> protocol::Reply {
     let settings = &shell.shared.settings;
-    let leafs = shell.shared.interface.leafs;
-    let origin = seam::Origin { host: &settings.name, start: shell.shared.origin.start(), lane: shell.index as u32 };
-    let name = leafs.name(origin, dispatch.attempt);
+    let leafs = shell.shared.interface.backend;
+    let origin =
+        protocol::Origin { host: &settings.name, start: shell.shared.origin.start(), lane: shell.index as u32 };
+    let name = leafs.attempt_name(origin, dispatch.attempt);
     let mut is_new = false;
     let mut unsent: Option<http::Request<Full<Bytes>>> = None;
     loop {
@@ -65,7 +66,7 @@
                 // The server closed an idle connection just as it was taken: the request comes back
                 // unsent, and the next connection gets it.
                 let Some(message) = error.take_message() else {
-                    return seam::Reply::lost(event::Loss::Broken);
+                    return protocol::Reply::lost(event::Loss::Broken);
                 };
                 if is_new {
                     return ended(event::Reply::NotSent);
@@ -133,21 +134,21 @@
     shell: &Rc<Shell>,
     dispatch: &event::Dispatch,
     name: &CompactString,
-    request: &seam::Request,
+    request: &protocol::Request,
     connection: pool::Connection,
     response: http::Response<hyper::body::Incoming>,
-) -> seam::Reply {
+) -> protocol::Reply {
     let (head, body) = response.into_parts();
     let limit = shell.shared.settings.reply_bytes_max;
     let Ok(body) = Limited::new(body, limit).collect().await else {
-        return seam::Reply::lost(event::Loss::Broken);
+        return protocol::Reply::lost(event::Loss::Broken);
     };
     let reply = match dispatch.relayed {
         Some(_) => relay::reply(&head, body.to_bytes()),
-        None => shell.shared.interface.leafs.reply(dispatch, name, request, &head, body.to_bytes()),
+        None => shell.shared.interface.backend.reply(dispatch, name, request, &head, body.to_bytes()),
     };
-    if reply.is_own {
-        give_back(shell, dispatch, connection, reply.idle).await;
+    if reply.is_matched {
+        give_back(shell, dispatch, connection, reply.keep_alive).await;
     }
     reply
 }
--- a/crates/node/src/lane/fingerprint.rs
+++ b/crates/node/src/lane/fingerprint.rs
@@ -2,11 +2,11 @@
 
 use http::header;
 use shallothub_core::suspect;
-use shallothub_wire::seam;
+use shallothub_wire::protocol;
 
 /// The fingerprint of method, host, path, query and body. The hash is one for which nobody can make up a harmless
 /// looking request with the fingerprint of another one.
-pub(super) fn of(request: &seam::Request) -> suspect::Fingerprint {
+pub(super) fn of(request: &protocol::Request) -> suspect::Fingerprint {
     let mut hash = blake3::Hasher::new();
     let host = request.headers.get(header::HOST).map_or(&[][..], |host| host.as_bytes());
     let target = request.target.path_and_query().map_or("", |target| target.as_str());
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -8,7 +8,7 @@
     clock, id,
     traffic::{event, why},
 };
-use shallothub_wire::{relay, seam};
+use shallothub_wire::{protocol, relay};
 use tokio::time::timeout;
 use xitca_http::http::RequestExt;
 use xitca_web::{
@@ -43,7 +43,7 @@
     let (ext, body) = ext.replace_body(());
     let link = shell.link(*ext.socket_addr());
     if link.as_ref().is_some_and(link::Link::is_closed) {
-        let refusal = seam::Refusal {
+        let refusal = protocol::Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "after_last",
             message: "an earlier answer ended this connection; send the request on a new one".to_owned(),
@@ -77,17 +77,17 @@
 ) -> Response<ResponseBody> {
     let _guard = shell.shared.enter_request();
     let started = std_time::Instant::now();
-    let order = if side == Side::Hosts { relay::take_order(&mut incoming.headers) } else { None };
+    let order = if side == Side::Hosts { relay::take_metadata(&mut incoming.headers) } else { None };
     if side == Side::Hosts && shell.shared.phase() >= shared::Phase::Draining {
         return leave(shell);
     }
     let (request, patience) = match receive(shell, incoming).await {
-        Ok((request, patience)) => (request, order.as_ref().map_or(patience, |order| order.patience)),
+        Ok((request, patience)) => (request, order.as_ref().map_or(patience, |order| order.timeout)),
         Err(refusal) => return turn_away(shell, &refusal, from),
     };
     let spent = started.elapsed().as_millis() as u64;
     let patience = patience.map(|patience| patience - clock::Millis(spent));
-    let name = request.ask.name.clone();
+    let name = request.head.name.clone();
     let (caller, receiver) = shell.request(request, patience, order.as_ref().map(|order| order.relayed));
     let mut hang_up = HangUp { shell: Rc::clone(shell), caller: Some(caller) };
     let answer = tokio::select! {
@@ -105,25 +105,25 @@
     let from = order.as_ref().map(|order| order.from.as_str());
     report(shell, &name, from, &answer, started);
     let (outcome, retry_after) = (answer.core.outcome, answer.core.retry_after);
-    let mut response = respond(shell, shell.shared.interface.callers.answer(answer));
+    let mut response = respond(shell, shell.shared.interface.frontend.answer(answer));
     if side == Side::Hosts {
-        relay::mark(response.headers_mut(), outcome, retry_after);
+        relay::set_outcome(response.headers_mut(), outcome, retry_after);
     }
     response
 }
 
 /// Answers a request that is not read any further.
-fn turn_away(shell: &Shell, refusal: &seam::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
+fn turn_away(shell: &Shell, refusal: &protocol::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
     tracing::info!(code = refusal.code, detail = %refusal.message, from = ?from, "turned a request away");
     shell.shared.metrics.refused(refusal.code);
-    close(respond(shell, shell.shared.interface.callers.refuse(refusal)))
+    close(respond(shell, shell.shared.interface.frontend.refuse(refusal)))
 }
 
 /// Tells another host to ask someone else: this one leaves, and will not be asked again.
 fn leave(shell: &Shell) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    relay::mark(response.headers_mut(), event::Outcome::NotRun, Some(LEFT));
+    relay::set_outcome(response.headers_mut(), event::Outcome::NotRun, Some(LEFT));
     close(respond(shell, response))
 }
 
@@ -149,15 +149,18 @@
 }
 
 /// Reads a request within bounds.
-async fn receive(shell: &Shell, incoming: Incoming) -> Result<(seam::Request, Option<clock::Millis>), seam::Refusal> {
+async fn receive(
+    shell: &Shell,
+    incoming: Incoming,
+) -> Result<(protocol::Request, Option<clock::Millis>), protocol::Refusal> {
     let Incoming { method, target, mut headers, body } = incoming;
     check_framing(&headers)?;
     check_head(shell, &target, &headers)?;
-    let ask = shell.shared.interface.callers.read(&target, &headers)?;
+    let ask = shell.shared.interface.frontend.parse(&target, &headers)?;
     let body = if body_is_empty(&headers) { Bytes::new() } else { read_within(shell, body).await? };
-    seam::strip(&mut headers);
-    let patience = ask.patience;
-    Ok((seam::Request { ask, method, target: origin_form(target), headers, body }, patience))
+    protocol::strip_hop_by_hop(&mut headers);
+    let patience = ask.timeout;
+    Ok((protocol::Request { head: ask, method, target: origin_form(target), headers, body }, patience))
 }
 
 fn body_is_empty(headers: &HeaderMap) -> bool {
@@ -175,8 +178,8 @@
 
 /// The library passes over transfer codings that it does not know, and reads a length with a sign.
 /// Either could make it take a body for the next request, so both are turned away.
-fn check_framing(headers: &HeaderMap) -> Result<(), seam::Refusal> {
-    let refusal = |message: &str| seam::Refusal {
+fn check_framing(headers: &HeaderMap) -> Result<(), protocol::Refusal> {
+    let refusal = |message: &str| protocol::Refusal {
         status: StatusCode::BAD_REQUEST,
         code: "bad_framing",
         message: message.to_owned(),
@@ -198,7 +201,7 @@
     Ok(())
 }
 
-fn check_head(shell: &Shell, target: &http::Uri, headers: &HeaderMap) -> Result<(), seam::Refusal> {
+fn check_head(shell: &Shell, target: &http::Uri, headers: &HeaderMap) -> Result<(), protocol::Refusal> {
     let Some(limits) = shell.limits() else {
         return Ok(());
     };
@@ -209,29 +212,29 @@
     if bytes <= limits.header_bytes {
         return Ok(());
     }
-    Err(seam::Refusal {
+    Err(protocol::Refusal {
         status: StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         code: "head_too_large",
         message: format!("the head is over {} bytes; send a smaller one", limits.header_bytes),
     })
 }
 
-async fn read_within(shell: &Shell, body: RequestBody) -> Result<Bytes, seam::Refusal> {
+async fn read_within(shell: &Shell, body: RequestBody) -> Result<Bytes, protocol::Refusal> {
     let settings = &shell.shared.settings;
     let most = shell.limits().map_or(settings.request_bytes_max, |limits| limits.body_bytes);
     match timeout(time::duration(settings.body_wait_ms), read(body, most)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(BodyError::TooLarge)) => Err(seam::Refusal {
+        Ok(Err(BodyError::TooLarge)) => Err(protocol::Refusal {
             status: StatusCode::PAYLOAD_TOO_LARGE,
             code: "body_too_large",
             message: format!("the body is over {most} bytes; send a smaller one"),
         }),
-        Ok(Err(BodyError::Broken)) => Err(seam::Refusal {
+        Ok(Err(BodyError::Broken)) => Err(protocol::Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "body_broken",
             message: "the body ended before its length".to_owned(),
         }),
-        Err(_) => Err(seam::Refusal {
+        Err(_) => Err(protocol::Refusal {
             status: StatusCode::REQUEST_TIMEOUT,
             code: "body_late",
             message: format!("the body did not come within {}", settings.body_wait_ms),
@@ -272,7 +275,7 @@
 }
 
 /// One line and the counters for an answer.
-fn report(shell: &Shell, request: &str, from: Option<&str>, answer: &seam::Answer, started: std_time::Instant) {
+fn report(shell: &Shell, request: &str, from: Option<&str>, answer: &protocol::Answer, started: std_time::Instant) {
     let core = &answer.core;
     let shards = core.contributed.len() + core.missing.len();
     // The name of an unknown class comes from the caller; as a label it would grow without bound.
--- a/crates/node/src/lane/mod.rs
+++ b/crates/node/src/lane/mod.rs
@@ -18,7 +18,7 @@
 use compact_str::{CompactString, format_compact};
 use indexmap::IndexMap;
 use shallothub_core::{catalog, clock, control, id, route, table, traffic, view};
-use shallothub_wire::seam;
+use shallothub_wire::protocol;
 use snafu::ResultExt;
 use tokio::{runtime, sync::mpsc, sync::oneshot, task, time::sleep};
 
@@ -109,14 +109,14 @@
     next_caller: u64,
     callers: IndexMap<id::Caller, Caller>,
     /// What came back and may still contribute, by query.
-    replies: IndexMap<id::Query, Vec<(id::Attempt, seam::Payload)>>,
+    replies: IndexMap<id::Query, Vec<(id::Attempt, protocol::Payload)>>,
     running: IndexMap<id::Attempt, task::AbortHandle>,
     pools: pool::Pools,
 }
 
 struct Caller {
-    request: Rc<seam::Request>,
-    reply: oneshot::Sender<seam::Answer>,
+    request: Rc<protocol::Request>,
+    reply: oneshot::Sender<protocol::Answer>,
 }
 
 impl Shell {
@@ -159,10 +159,10 @@
     }
 
     /// The class to which a request goes; its destination's own words if there is none.
-    fn class(&self, to: &seam::Destination) -> CompactString {
+    fn class(&self, to: &protocol::Destination) -> CompactString {
         match to {
-            seam::Destination::Class(class) => class.clone(),
-            seam::Destination::Route { host, path } => {
+            protocol::Destination::Class(class) => class.clone(),
+            protocol::Destination::Route { host, path } => {
                 let state = self.state.borrow();
                 state.core.view().routes.find(host, path).cloned().unwrap_or_default()
             }
@@ -172,16 +172,16 @@
     /// Hands a caller's request to the core; the answer comes through the receiver.
     pub(crate) fn request(
         self: &Rc<Self>,
-        request: seam::Request,
+        request: protocol::Request,
         patience: Option<clock::Millis>,
         relayed: Option<traffic::event::Relayed>,
-    ) -> (id::Caller, oneshot::Receiver<seam::Answer>) {
+    ) -> (id::Caller, oneshot::Receiver<protocol::Answer>) {
         let (reply, receiver) = oneshot::channel();
-        let class = self.class(&request.ask.to);
+        let class = self.class(&request.head.destination);
         if class.is_empty() {
-            tracing::info!(request = %request.ask.name, to = ?request.ask.to, "no route");
+            tracing::info!(request = %request.head.name, to = ?request.head.destination, "no route");
         }
-        let key = request.ask.key.clone();
+        let key = request.head.key.clone();
         let fingerprint = Some(fingerprint::of(&request));
         let caller = {
             let mut state = self.state.borrow_mut();
@@ -263,7 +263,7 @@
         attempt: id::Attempt,
         query: id::Query,
         reply: traffic::event::Reply,
-        payload: Option<seam::Payload>,
+        payload: Option<protocol::Payload>,
     ) {
         {
             let mut state = self.state.borrow_mut();
@@ -286,23 +286,23 @@
         let Some(caller) = state.callers.swap_remove(&answer.caller) else {
             return;
         };
-        let mut payloads: IndexMap<id::Attempt, seam::Payload> = payloads.into_iter().collect();
+        let mut payloads: IndexMap<id::Attempt, protocol::Payload> = payloads.into_iter().collect();
         let mut parts = Vec::with_capacity(answer.contributed.len());
         for (shard, attempt) in &answer.contributed {
             if let Some(payload) = payloads.swap_remove(attempt) {
-                parts.push(seam::Part { shard: shard.clone(), payload });
+                parts.push(protocol::Part { shard: shard.clone(), payload });
             }
         }
         let failure = answer.failure.and_then(|attempt| payloads.swap_remove(&attempt));
         let name = answer.query.map(|query| self.query_name(query));
         // A caller that hung up does not read its answer; the core was told, or will be.
-        caller.reply.send(seam::Answer { core: answer, parts, failure, name }).ok();
+        caller.reply.send(protocol::Answer { core: answer, parts, failure, name }).ok();
     }
 
     /// The caller's own name of a request, for the log.
     fn request_name(&self, caller: id::Caller) -> CompactString {
         let state = self.state.borrow();
-        state.callers.get(&caller).map(|caller| caller.request.ask.name.clone()).unwrap_or_default()
+        state.callers.get(&caller).map(|caller| caller.request.head.name.clone()).unwrap_or_default()
     }
 
     fn query_name(&self, query: id::Query) -> CompactString {
--- a/crates/node/src/lane/pages.rs
+++ b/crates/node/src/lane/pages.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use serde::Serialize;
 use shallothub_core::{control, traffic::event};
-use shallothub_wire::{own, seam};
+use shallothub_wire::{own, protocol};
 use tokio::time::timeout;
 use xitca_http::HttpServiceBuilder;
 use xitca_service::{Service, ServiceExt, fn_service};
@@ -56,7 +56,7 @@
 
 async fn query(ctx: Context<'_>) -> Result<WebResponse, Infallible> {
     let shell = Rc::clone(ctx.state());
-    if shell.shared.interface.callers.is_exclusive() {
+    if shell.shared.interface.frontend.is_exclusive() {
         return Ok(refusal(&shell, StatusCode::NOT_FOUND, "wrong_address", "callers have an address of their own"));
     }
     let request = ctx.req();
@@ -70,8 +70,8 @@
 }
 
 fn refusal(shell: &Shell, status: StatusCode, code: &'static str, message: &str) -> WebResponse {
-    let refusal = seam::Refusal { status, code, message: message.to_owned() };
-    let mut response = ingress::respond(shell, seam::Callers::refuse(&own::Own, &refusal));
+    let refusal = protocol::Refusal { status, code, message: message.to_owned() };
+    let mut response = ingress::respond(shell, protocol::Frontend::refuse(&own::Own, &refusal));
     // What is left of the request's body is not read, so the connection cannot be used again.
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -3,7 +3,7 @@
 use std::{fs, net, sync::Arc};
 
 use shallothub_settings::{document, node};
-use shallothub_wire::{own, seam};
+use shallothub_wire::{own, protocol};
 use snafu::ResultExt;
 use tokio::{runtime, signal::unix, sync::mpsc, time::sleep};
 
@@ -19,12 +19,12 @@
 }
 
 /// The product's own interface.
-pub fn own_interface() -> seam::Interface {
-    seam::Interface { callers: &own::Own, leafs: &own::Own, reader: document::READER, registry: None }
+pub fn own_interface() -> protocol::Interface {
+    protocol::Interface { frontend: &own::Own, backend: &own::Own, reader: document::READER, registry: None }
 }
 
 /// Runs a node until SIGTERM or SIGINT and its drain. SIGHUP reads the settings again. `platform` is the interface of the users' platform.
-pub fn run(path: &str, platform: seam::Interface) -> Result<(), error::Error> {
+pub fn run(path: &str, platform: protocol::Interface) -> Result<(), error::Error> {
     let settings = settings(path)?;
     let log = log::start(&settings.log)?;
     let interface = match settings.interface {
@@ -45,7 +45,7 @@
 }
 
 /// Starts the threads of a node.
-pub fn start(settings: node::Settings, interface: seam::Interface) -> Result<Arc<shared::Shared>, error::Error> {
+pub fn start(settings: node::Settings, interface: protocol::Interface) -> Result<Arc<shared::Shared>, error::Error> {
     let address = settings.listen;
     let listener = bind(address)?;
     let ready = settings.ready.map(bind).transpose()?;
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use shallothub_core::{clock, control, plan, suspect, traffic, view};
 use shallothub_settings::node;
-use shallothub_wire::seam;
+use shallothub_wire::protocol;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::{metrics, time};
@@ -135,7 +135,7 @@
     /// The node's settings.
     pub settings: node::Settings,
     /// The interface that it speaks.
-    pub interface: seam::Interface,
+    pub interface: protocol::Interface,
     /// Where it listens.
     pub addresses: Addresses,
     /// Where times are counted from.
@@ -160,7 +160,7 @@
     /// State of a node that starts.
     pub fn new(
         settings: node::Settings,
-        interface: seam::Interface,
+        interface: protocol::Interface,
         addresses: Addresses,
         metrics: metrics::Metrics,
         lanes: Vec<mpsc::UnboundedSender<ToLane>>,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,6 +1,6 @@
 //! The published documents: manifests, services, selectors and hosts.
 //!
-//! The key's second segment tells what a part holds: `shallothub/services/...`,
+//! The key's second segment is the type of a part: `shallothub/services/...`,
 //! `shallothub/selectors/...`, `shallothub/evacuations/...` or `shallothub/hosts/...`.
 
 use compact_str::CompactString;
@@ -10,7 +10,7 @@
 
 use crate::yaml;
 
-/// The functions that the control core reads documents with.
+/// The functions with which the control core parses documents.
 pub const READER: control::Reader = control::Reader { source: control::Source::Documents, manifest, part };
 
 #[derive(Deserialize)]
@@ -31,7 +31,7 @@
     warm_up: Option<Spanned<WarmUp>>,
 }
 
-/// What each server of a service bears while it warms up.
+/// The load limit of each server of a service during warm-up.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WarmUp {
@@ -84,19 +84,19 @@
     data_centres: Vec<CompactString>,
 }
 
-/// A part of the list of hosts, also as the platform's stand-in writes it.
+/// A part of the list of hosts; the platform's stand-in serializes it too.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hosts {
-    /// Entry hosts of the system.
+    /// Entry hosts, on which nodes run.
     #[serde(default)]
     pub entry_hosts: Vec<plan::EntryHost>,
-    /// Backend servers.
+    /// Backend servers, on which shards are searched.
     #[serde(default)]
     pub backend_servers: Vec<plan::BackendServer>,
 }
 
-/// Reads a manifest.
+/// Parses a manifest, which must have a version above 0 and at least one part.
 pub fn manifest(text: &str) -> Result<catalog::Manifest, Vec<plan::Fault>> {
     let manifest: catalog::Manifest = yaml::read("manifest", text)?;
     if manifest.version == 0 || manifest.parts.is_empty() {
@@ -104,13 +104,13 @@
             document: CompactString::const_new("manifest"),
             position: plan::Position { line: 1, column: 1 },
             problem: "the manifest has version 0 or no parts".to_owned(),
-            remedy: "make it anew with `shallotctl manifest`".to_owned(),
+            remedy: "generate it again with `shallotctl manifest`".to_owned(),
         }]);
     }
     Ok(manifest)
 }
 
-/// Reads the part published under `key`.
+/// Parses the part that is published under `key`.
 pub fn part(key: &str, text: &str) -> Result<plan::Part, Vec<plan::Fault>> {
     if text.len() > catalog::MAX_VALUE_BYTES {
         return Err(vec![too_large(key, text.len())]);
@@ -123,7 +123,7 @@
         _ => Err(vec![plan::Fault {
             document: CompactString::from(key),
             position: plan::Position::default(),
-            problem: "the key does not tell what the part holds".to_owned(),
+            problem: "the second segment of the key is not a known type of part".to_owned(),
             remedy: "name it shallothub/services/..., shallothub/selectors/..., shallothub/evacuations/... or \
                      shallothub/hosts/..."
                 .to_owned(),
@@ -135,7 +135,7 @@
     plan::Fault {
         document: CompactString::from(key),
         position: plan::Position::default(),
-        problem: format!("the value has {bytes} bytes; the platform holds {} at most", catalog::MAX_VALUE_BYTES),
+        problem: format!("the value has {bytes} bytes; the platform's limit is {}", catalog::MAX_VALUE_BYTES),
         remedy: "cut it into several parts with keys of their own".to_owned(),
     }
 }
@@ -145,20 +145,20 @@
     let mut services = Vec::with_capacity(document.services.len());
     let mut faults = Vec::new();
     for service in document.services {
-        let place = service.warm_up.as_ref().map(|warm_up| yaml::place(warm_up.referenced));
+        let position = service.warm_up.as_ref().map(|warm_up| yaml::position_of(warm_up.referenced));
         let warm_up = service
             .warm_up
             .map(|warm_up| plan::WarmUp { duration: warm_up.value.span_ms, rate: warm_up.value.requests_per_second });
         if warm_up.is_some_and(|warm_up| !(warm_up.rate > 0.0 && warm_up.rate.is_finite())) {
             faults.push(plan::Fault {
                 document: CompactString::from(key),
-                position: place.unwrap_or_default(),
-                problem: format!("servers of `{}` bear no requests while they warm up", service.name.value),
-                remedy: "set `requests_per_second` above 0, or leave `warm_up` out".to_owned(),
+                position: position.unwrap_or_default(),
+                problem: format!("the warm-up rate of `{}` is not a positive number", service.name.value),
+                remedy: "set `requests_per_second` above 0, or remove `warm_up`".to_owned(),
             });
         }
         services.push(plan::Service {
-            position: yaml::place(service.name.referenced),
+            position: yaml::position_of(service.name.referenced),
             name: service.name.value,
             epoch: service.epoch,
             shards: service.shards,
@@ -174,7 +174,7 @@
 
 fn server(server: Server) -> plan::Server {
     plan::Server {
-        position: yaml::place(server.name.referenced),
+        position: yaml::position_of(server.name.referenced),
         name: server.name.value,
         shards: server.shards,
         labels: server.labels,
@@ -186,21 +186,21 @@
 fn selectors(key: &str, text: &str) -> Result<plan::Part, Vec<plan::Fault>> {
     let document: Selectors = yaml::read(key, text)?;
     let mut selectors = Vec::with_capacity(document.selectors.len());
-    for row in document.selectors {
+    for selector in document.selectors {
         selectors.push(plan::Selector {
-            position: yaml::place(row.name.referenced),
-            name: row.name.value,
-            service: row.service,
-            labels: row.labels,
-            reach: row.reach,
-            deadline: row.deadline_ms,
-            settle: row.settle_ms,
-            least_coverage: row.least_coverage,
-            enough_hits: row.enough_hits,
-            idempotent: row.idempotent,
-            hedge: row.hedge,
-            priority: row.priority,
-            homes: row.homes,
+            position: yaml::position_of(selector.name.referenced),
+            name: selector.name.value,
+            service: selector.service,
+            labels: selector.labels,
+            reach: selector.reach,
+            deadline: selector.deadline_ms,
+            settle: selector.settle_ms,
+            least_coverage: selector.least_coverage,
+            enough_hits: selector.enough_hits,
+            idempotent: selector.idempotent,
+            hedge: selector.hedge,
+            priority: selector.priority,
+            homes: selector.homes,
         });
     }
     Ok(plan::Part::Selectors(selectors))
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,6 @@
-//! Everything that people write in YAML: the settings of a node, and the documents that operators
-//! and the platform publish.
+//! Parsers for YAML: the settings of a node, and the documents that operators and the platform publish.
 //!
-//! Reading is strict. An unknown key, a wrong type or a contradiction is a
+//! Parsing is strict. An unknown key, a wrong type or a contradiction is a
 //! [`plan::Fault`](shallothub_core::plan::Fault) with document, line, column and remedy, and every
 //! fault of a document is listed, not just the first.
 
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! The settings of one node, from the file given with `--settings`.
+//! The settings of a node, from the file given with `--settings`.
 
 use std::net;
 
@@ -8,85 +8,85 @@
 
 use crate::yaml;
 
-/// The interface that a node speaks to callers, backend servers and its source of configuration.
+/// The interface towards callers, backend servers and the source of configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Interface {
-    /// The product's own.
+    /// The product's own interface.
     #[default]
     Own,
-    /// That of the users' platform.
+    /// The interface of the users' platform.
     Platform,
 }
 
-/// Settings of one node. Times are in milliseconds, sizes in bytes.
+/// Settings of a node. Times are in milliseconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// This host's name in the platform's list of hosts.
     pub name: CompactString,
-    /// Its data centre.
+    /// The host's data centre.
     pub data_centre: CompactString,
-    /// The region of each data centre, for selectors and routes that may be served in some regions only. Default
-    /// none; what has homes is then served nowhere.
+    /// The region of each data centre, for selectors and routes that are restricted to some regions. Default none;
+    /// restricted selectors and routes are then not served.
     #[serde(default)]
     pub regions: plan::Regions,
-    /// Which interface it speaks. Default `own`.
+    /// The interface that the node implements. Default `own`.
     #[serde(default)]
     pub interface: Interface,
     /// `IP:PORT` for callers; with the interface `own` also for health and metrics.
     pub listen: net::SocketAddr,
-    /// `IP:PORT` for the balancer's question whether the node is ready, if not at `listen`.
+    /// `IP:PORT` for the load balancer's readiness checks, if not at `listen`.
     #[serde(default)]
     pub ready: Option<net::SocketAddr>,
-    /// `IP:PORT` for metrics, status and explanations, if not at `listen`.
+    /// `IP:PORT` for metrics, status and query explanations, if not at `listen`.
     #[serde(default)]
     pub admin: Option<net::SocketAddr>,
-    /// `IP:PORT` at which it takes requests of other hosts, to gather for them. Default none.
+    /// `IP:PORT` for requests relayed by other hosts, for which this host gathers. Default none.
     #[serde(default)]
     pub relay: Option<net::SocketAddr>,
-    /// Processor that it may use, in cores. A host with much less than others passes gathers on to
+    /// Processor time available to the node, in cores. A host with much less than others relays gathers to
     /// them. Default 1.
     #[serde(default = "whole")]
     pub processor: f64,
-    /// `IP:PORT` for the other hosts.
+    /// `IP:PORT` for messages from other hosts.
     pub peer: net::SocketAddr,
     /// `IP:PORT` of the platform's configuration service.
     pub platform: net::SocketAddr,
-    /// Hosts to ask on start before the platform, `IP:PORT`; write the same two or three on every
-    /// host of a data centre, also on these themselves. Default none.
+    /// `IP:PORT` of hosts to contact at start before the platform. List the same two or three on every
+    /// host of a data centre, including these hosts. Default none.
     #[serde(default)]
     pub seeds: Vec<net::SocketAddr>,
-    /// Most descriptors that the process may have open; connections to backend servers take a part of
-    /// them at most. Default 4096.
+    /// Maximum number of open file descriptors of the process; connections to backend servers use at most a part
+    /// of them. Default 4096.
     #[serde(default = "descriptors")]
     pub descriptors: u32,
-    /// Traffic threads. Each gets a part of this host's share of connections, so a small share
-    /// wants one thread. Default 1.
+    /// Number of traffic threads. Each gets a part of this host's share of connections, so use one thread for a
+    /// small share. Default 1.
     #[serde(default = "one")]
     pub traffic_threads: u32,
-    /// Log filter, such as `info` or `shallothub_node=debug`; read again on SIGHUP. Default `info`.
+    /// Log filter, such as `info` or `shallothub_node=debug`; reloaded on SIGHUP. Default `info`.
     #[serde(default = "info")]
     pub log: CompactString,
-    /// Largest request body, in bytes. Default 65536.
+    /// Maximum size of a request body, in bytes. Default 65536.
     #[serde(default = "request_bytes")]
     pub request_bytes_max: usize,
-    /// Largest answer of one shard, in bytes. Default 1048576.
+    /// Maximum size of one shard's reply, in bytes. Default 1048576.
     #[serde(default = "reply_bytes")]
     pub reply_bytes_max: usize,
-    /// Longest time to read a request's body, in ms. Default 2000.
+    /// Timeout for reading a request body, in ms. Default 2000.
     #[serde(default = "body_wait")]
     pub body_wait_ms: clock::Millis,
-    /// Time to go on serving after SIGTERM so that the balancer notices, in ms. Default 3000.
+    /// Time to keep serving after SIGTERM until the load balancer notices, in ms. Default 3000.
     #[serde(default = "balancer_lag")]
     pub balancer_lag_ms: clock::Millis,
-    /// Longest time to finish requests after that, in ms. Default 10000.
+    /// Timeout for finishing requests in flight after that, in ms. Default 10000.
     #[serde(default = "drain_most")]
     pub drain_most_ms: clock::Millis,
-    /// Knobs of the decisions on traffic.
+    /// Parameters of the traffic core.
     #[serde(default)]
     pub traffic: traffic::policy::Policy,
-    /// Knobs of the decisions on configuration.
+    /// Parameters of the control core.
     #[serde(default)]
     pub control: control::Policy,
 }
@@ -127,11 +127,11 @@
     clock::Millis(10_000)
 }
 
-/// Least descriptors of a process: listeners, links to hosts and the platform, logs, and some
-/// connections on either side.
-const DESCRIPTORS_LEAST: u32 = 64;
+/// Minimum number of file descriptors: listeners, connections to hosts and the platform, logs, and some
+/// connections to callers and backend servers.
+const MIN_DESCRIPTORS: u32 = 64;
 
-/// Reads and checks settings; `document` names the file in faults.
+/// Parses and validates settings; `document` is the file name in faults.
 pub fn read(document: &str, text: &str) -> Result<Settings, Vec<plan::Fault>> {
     let settings: Settings = yaml::read(document, text)?;
     let faults = check(document, &settings);
@@ -149,32 +149,32 @@
         });
     };
     if settings.regions.iter().any(|(data_centre, region)| data_centre.is_empty() || region.is_empty()) {
-        fault("`regions` has a data centre or a region without a name", "write DATA_CENTRE: REGION");
+        fault("`regions` has a data centre or a region without a name", "use the form DATA_CENTRE: REGION");
     }
     if settings.traffic_threads == 0 {
         fault("`traffic_threads` is 0", "set it to 1 or more");
     }
     if settings.peer == settings.listen && settings.listen.port() != 0 {
-        fault("`peer` and `listen` are the same address", "give them two ports");
+        fault("`peer` and `listen` are the same address", "use different ports");
     }
     if settings.peer.ip().is_unspecified() {
-        fault("`peer` names no address that other hosts could reach", "write this host's IP number");
+        fault("`peer` is an unspecified address, which other hosts cannot reach", "set it to this host's IP address");
     }
     if settings.interface == Interface::Platform && settings.ready.is_none() {
-        fault("`ready` is missing", "write the address at which the platform asks whether the node is ready");
+        fault("`ready` is missing", "set the address for readiness checks of the platform");
     }
     if settings.processor.is_nan() || settings.processor <= 0.0 {
-        fault("`processor` is not above 0", "write the cores that the node may use, such as 0.25");
+        fault("`processor` is not above 0", "set the number of cores that the node may use, such as 0.25");
     }
     let others = [Some(settings.peer), settings.ready, settings.admin, settings.relay];
-    for (place, address) in others.iter().enumerate().filter_map(|(place, address)| Some((place, (*address)?))) {
-        let is_taken = address == settings.listen || others[..place].contains(&Some(address));
+    for (index, address) in others.iter().enumerate().filter_map(|(index, address)| Some((index, (*address)?))) {
+        let is_taken = address == settings.listen || others[..index].contains(&Some(address));
         if is_taken && address.port() != 0 && address != settings.peer {
-            fault("`ready`, `admin` or `relay` is an address that is taken", "give each a port of its own");
+            fault("`ready`, `admin` or `relay` is an address that is taken", "use a different port for each");
         }
     }
     if settings.name.is_empty() || settings.data_centre.is_empty() {
-        fault("`name` or `data_centre` is empty", "write them as in the platform's list of hosts");
+        fault("`name` or `data_centre` is empty", "set them as in the platform's list of hosts");
     }
     if settings.traffic.hedge_fraction < 0.0 || settings.traffic.retry_fraction < 0.0 {
         fault("a budget under `traffic` is negative", "set `hedge_fraction` and `retry_fraction` to 0 or more");
@@ -184,10 +184,10 @@
     }
     let is_quantile = |quantile: f64| quantile > 0.0 && quantile < 1.0;
     if !is_quantile(settings.traffic.hedge_quantile) || !is_quantile(settings.traffic.silence_quantile) {
-        fault("`traffic.hedge_quantile` or `silence_quantile` is no quantile", "set it between 0 and 1");
+        fault("`traffic.hedge_quantile` or `silence_quantile` is no quantile", "set both between 0 and 1");
     }
-    if settings.descriptors < DESCRIPTORS_LEAST {
-        fault("`descriptors` is below 64", "give the process 64 or more");
+    if settings.descriptors < MIN_DESCRIPTORS {
+        fault("`descriptors` is below 64", "set it to 64 or more");
     }
     if settings.traffic.score_band < 1.0 {
         fault("`traffic.score_band` is below 1", "set it to 1 or more");
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What people may get wrong in YAML: each gets the place and the remedy.
+//! Errors in YAML: each is reported with its position and a remedy.
 
 use rstest::rstest;
 use shallothub_core::plan;
@@ -17,7 +17,7 @@
     format!("selectors:\n  - {{name: q, service: s, deadline_ms: 100, least_coverage: 1, idempotent: true{rest}}}\n")
 }
 
-/// All faults of one part with these services and selectors.
+/// Returns all faults of a plan with these services and selectors.
 fn faults(services: &str, selectors: &str) -> Vec<plan::Fault> {
     let mut parts = Vec::new();
     for (key, text) in [(SERVICES, services), (SELECTORS, selectors)] {
@@ -68,7 +68,7 @@
     assert!(!fault.remedy.is_empty(), "{fault}");
 }
 
-/// Operators evacuate data centres by a document of their own.
+/// Operators evacuate data centres with a separate document.
 #[rstest]
 #[case::misspelt("data_centers: [north]", 1, "data_centers")]
 #[case::no_list("data_centres: north", 1, "")]
@@ -98,7 +98,7 @@
     assert!(faults[0].remedy.contains("cut it into several parts"), "{}", faults[0]);
 }
 
-/// All faults of a file are listed, so that an operator does not mend them one by one.
+/// All faults of a file are listed, so that an operator can fix them at once.
 #[test]
 fn settings_list_every_fault() {
     let text = "name: \"\"\ndata_centre: a\nlisten: \"127.0.0.1:1\"\npeer: \"127.0.0.1:1\"\nplatform: \"127.0.0.1:2\"\ntraffic_threads: 0\n";
@@ -108,7 +108,7 @@
     assert_eq!((faults[0].position.line, faults[0].problem.contains("lissten")), (2, true), "{}", faults[0]);
 }
 
-/// Each setting out of its range has its own fault, with what to write instead.
+/// Each setting outside its range is reported as a separate fault with a remedy.
 #[rstest]
 #[case::readiness("interface: platform", "`ready` is missing")]
 #[case::interface("interface: theirs", "unknown variant `theirs`")]
@@ -134,7 +134,7 @@
     assert!(!faults[0].remedy.is_empty(), "{}", faults[0]);
 }
 
-/// Another program's writer turns whole numbers into fractions.
+/// Durations may be fractional: another program's YAML writer turns integers into fractions.
 #[rstest]
 #[case("balancer_lag_ms: 2600.0", 2600)]
 #[case("balancer_lag_ms: 2600.4", 2600)]
@@ -148,7 +148,7 @@
     assert!(faults[0].problem.contains("0 or more"), "{}", faults[0]);
 }
 
-/// The examples that the pages point to are right.
+/// The settings in the documented examples are valid.
 #[rstest]
 #[case::bangkok(include_str!("../../../examples/bangkok/node.yaml"))]
 #[case::fukuoka(include_str!("../../../examples/fukuoka/node.yaml"))]
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -146,7 +146,7 @@
 
 /// Holds an answer against what it must be.
 fn check(kind: Kind, name: &str, head: &http::response::Parts, body: &Bytes) -> End {
-    let got = opposite::Got::read(&head.headers);
+    let got = opposite::Response::parse(&head.headers);
     if !head.status.is_success() {
         return match &got.signature {
             Some(signature) if replica::signed(signature).is_none_or(|(request, _)| request != name) => {
@@ -161,7 +161,7 @@
     }
 }
 
-fn check_whole(name: &str, got: &opposite::Got, body: &Bytes) -> End {
+fn check_whole(name: &str, got: &opposite::Response, body: &Bytes) -> End {
     let Some((request, service)) = got.signature.as_deref().and_then(replica::signed) else {
         return End::Wrong("a success without a signature".to_owned());
     };
@@ -171,7 +171,7 @@
     End::Served { services: vec![service.into()], missing: 0 }
 }
 
-fn check_merged(name: &str, got: &opposite::Got, body: &Bytes) -> End {
+fn check_merged(name: &str, got: &opposite::Response, body: &Bytes) -> End {
     let mut services: Vec<CompactString> = Vec::new();
     let mut parts = Vec::new();
     for signature in &got.parts {
--- a/crates/standin/src/leaf.rs
+++ b/crates/standin/src/leaf.rs
@@ -334,7 +334,7 @@
             shard: text(leaf::SHARD).unwrap_or_default(),
             key: text(leaf::KEY),
             epoch: number(leaf::EPOCH),
-            want: number(leaf::WANT),
+            want: number(leaf::WANT_VERSION),
             deadline_ms: number(leaf::DEADLINE),
         }
     }
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -181,7 +181,7 @@
         }
         match opposite::Call::parse(&target) {
             Some(opposite::Call::List { after }) => Some(self.page(after.as_deref())),
-            Some(opposite::Call::Follow { after, wait_ms }) => self.follow(after, wait_ms).await,
+            Some(opposite::Call::Watch { after, wait_ms }) => self.follow(after, wait_ms).await,
             None => Some(http_server::answer(404, "no such call")),
         }
     }
--- a/crates/standin/src/replica.rs
+++ b/crates/standin/src/replica.rs
@@ -149,7 +149,7 @@
 struct Asked {
     method: String,
     target: String,
-    told: opposite::Told,
+    told: opposite::Request,
     body_left: usize,
 }
 
@@ -297,7 +297,8 @@
             self.crash();
             return None;
         }
-        let is_late = asked.told.left_ms.is_some_and(|left| begun.elapsed().as_millis() as u64 > left + LATE_SLACK_MS);
+        let is_late =
+            asked.told.timeout_ms.is_some_and(|left| begun.elapsed().as_millis() as u64 > left + LATE_SLACK_MS);
         lock(&self.ledger).late += u64::from(is_late);
         self.reply(stream, asked, manner).await
     }
@@ -384,7 +385,7 @@
             let asked = Asked {
                 method: parsed.method.unwrap_or_default().to_owned(),
                 target: parsed.path.unwrap_or_default().to_owned(),
-                told: opposite::Told::read(&headers),
+                told: opposite::Request::parse(&headers),
                 body_left: body_left.unwrap_or_default(),
             };
             buffer.drain(..length);
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,7 +1,7 @@
-//! What callers send and get.
+//! The protocol between callers and the node.
 //!
-//! `POST /query/CLASS` with the query as the body, which is passed to the backend servers as it is.
-//! The answer is an [`Answer`] in JSON. Its HTTP status follows from outcome and code, see
+//! `POST /query/CLASS` with the query as the body, which is passed to the backend servers unchanged.
+//! The response is an [`Answer`] in JSON. Its HTTP status is derived from outcome and code by
 //! [`status`].
 
 use std::borrow::Cow;
@@ -11,54 +11,54 @@
 use serde_json::value::RawValue;
 use shallothub_core::{clock, traffic::event, view};
 
-/// Request header: time that the caller still gives, in ms from now. Optional.
+/// Request header: the caller's timeout, in ms from now. Optional.
 pub const DEADLINE: &str = "x-shallot-deadline-ms";
-/// Request header: the key by which a request that is not idempotent runs at most once. Optional.
+/// Request header: idempotency key; a request that is not idempotent runs at most once per key. Optional.
 pub const KEY: &str = "x-shallot-key";
-/// Answer header: the outcome.
+/// Response header: the outcome, as in [`Answer::outcome`].
 pub const OUTCOME: &str = "x-shallot-outcome";
-/// Answer header: when to come back, in ms; beside the usual `Retry-After` in whole seconds.
+/// Response header: the retry delay, in ms; sent along with the standard `Retry-After` in whole seconds.
 pub const RETRY_AFTER: &str = "x-shallot-retry-after-ms";
 
-/// The only answer to a request.
+/// The response to a request that reached the core.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer<'b> {
-    /// Name for `shallotctl explain`; absent if the request never became a query.
+    /// The query id for `shallotctl explain`; `None` if the request never became a query.
     pub query: Option<CompactString>,
-    /// Whether it ran.
+    /// Whether the request was answered, did not run, or has an unknown outcome.
     pub outcome: event::Outcome,
-    /// Why, as a stable code.
+    /// The reason for the outcome, as a stable code.
     pub code: event::Code,
-    /// Why, for a person.
+    /// The reason for the outcome, human-readable.
     pub message: CompactString,
-    /// The one snapshot of all parts.
+    /// The snapshot from which all parts were computed; `None` unless answered.
     pub snapshot: Option<view::Snapshot>,
-    /// Shards asked.
+    /// Number of shards that the request covers.
     pub shards: u32,
     /// Shards that did not contribute.
     pub missing: Vec<CompactString>,
-    /// When to come back, from now.
+    /// Delay after which the caller may retry.
     pub retry_after_ms: Option<clock::Millis>,
-    /// What it cost.
+    /// Number of first attempts, hedges and retries.
     pub cost: event::Cost,
-    /// One part for each shard that contributed.
+    /// The results, one per shard that contributed.
     #[serde(borrow)]
     pub parts: Vec<Part<'b>>,
 }
 
-/// One shard's part of an answer.
+/// The result of one shard.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part<'b> {
-    /// The shard.
+    /// The name of the shard.
     pub shard: CompactString,
-    /// Its hits, as the backend server wrote them.
+    /// The hits, exactly as the backend server encoded them.
     #[serde(borrow)]
     pub hits: Cow<'b, RawValue>,
 }
 
-/// The HTTP status of an answer.
+/// Returns the HTTP status of an answer; only `answered` maps to 200.
 pub fn status(outcome: event::Outcome, code: event::Code) -> u16 {
     match (outcome, code) {
         (event::Outcome::Answered, _) => 200,
@@ -70,14 +70,15 @@
     }
 }
 
-/// An error before a request became a query: a wrong path, a body that is too large.
+/// The response to a request that was rejected before it became a query, such as one with an unknown path or too
+/// large a body.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Refusal {
     /// Always [`event::Outcome::NotRun`].
     pub outcome: event::Outcome,
-    /// A stable code.
+    /// The reason, as a stable code.
     pub code: CompactString,
-    /// Why, for a person, with the remedy.
+    /// The reason and the remedy, human-readable.
     pub message: CompactString,
 }
--- a/crates/wire/src/own.rs
+++ b/crates/wire/src/own.rs
@@ -1,5 +1,5 @@
-//! The product's own interface, as the two sides of [`seam`]: `POST /query/CLASS` from callers,
-//! `POST /search` to backend servers.
+//! The product's own interface, an implementation of the traits in [`protocol`]: `POST /query/CLASS` from
+//! callers, `POST /search` to backend servers.
 
 use std::borrow::Cow;
 
@@ -11,32 +11,40 @@
 use serde_json::value::RawValue;
 use shallothub_core::{clock, id, traffic::event};
 
-use crate::{caller, leaf, seam};
+use crate::{caller, leaf, protocol};
 
-/// The product's own interface on both sides.
+/// The product's own interface, towards callers and backend servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Own;
 
-impl seam::Callers for Own {
-    fn read(&self, target: &http::Uri, headers: &HeaderMap) -> Result<seam::Ask, seam::Refusal> {
-        let patience = match text(headers, caller::DEADLINE)? {
+impl protocol::Frontend for Own {
+    fn parse(&self, target: &http::Uri, headers: &HeaderMap) -> Result<protocol::Head, protocol::Refusal> {
+        let timeout = match header_text(headers, caller::DEADLINE)? {
             None => None,
             Some(value) => match value.parse::<u64>() {
                 Ok(value) => Some(clock::Millis(value)),
                 Err(_) => {
-                    return Err(bad_header(format!("`{}` is no number of ms from now: `{value}`", caller::DEADLINE)));
+                    return Err(bad_header(format!(
+                        "`{}` is not a number of milliseconds: `{value}`",
+                        caller::DEADLINE
+                    )));
                 }
             },
         };
-        let key = text(headers, caller::KEY)?.map(CompactString::from);
+        let key = header_text(headers, caller::KEY)?.map(CompactString::from);
         let class = CompactString::from(target.path().rsplit('/').next().unwrap_or_default());
-        Ok(seam::Ask { name: key.clone().unwrap_or_default(), to: seam::Destination::Class(class), patience, key })
+        Ok(protocol::Head {
+            name: key.clone().unwrap_or_default(),
+            destination: protocol::Destination::Class(class),
+            timeout,
+            key,
+        })
     }
 
-    fn answer(&self, answer: seam::Answer) -> http::Response<Bytes> {
+    fn answer(&self, answer: protocol::Answer) -> http::Response<Bytes> {
         let core = &answer.core;
         let parts = answer.parts.iter().filter_map(|part| match &part.payload {
-            seam::Payload::Hits(hits) => {
+            protocol::Payload::Hits(hits) => {
                 Some(caller::Part { shard: part.shard.clone(), hits: Cow::Borrowed(&**hits as &RawValue) })
             }
             _ => None,
@@ -66,7 +74,7 @@
         response
     }
 
-    fn refuse(&self, refusal: &seam::Refusal) -> http::Response<Bytes> {
+    fn refuse(&self, refusal: &protocol::Refusal) -> http::Response<Bytes> {
         let body = caller::Refusal {
             outcome: event::Outcome::NotRun,
             code: CompactString::const_new(refusal.code),
@@ -80,8 +88,8 @@
     }
 }
 
-impl seam::Leafs for Own {
-    fn name(&self, origin: seam::Origin<'_>, attempt: id::Attempt) -> CompactString {
+impl protocol::Backend for Own {
+    fn attempt_name(&self, origin: protocol::Origin<'_>, attempt: id::Attempt) -> CompactString {
         leaf::attempt_name(origin.host, origin.start, origin.lane, attempt)
     }
 
@@ -89,17 +97,17 @@
         &self,
         dispatch: &event::Dispatch,
         name: &str,
-        request: &seam::Request,
-        left: clock::Millis,
+        request: &protocol::Request,
+        remaining: clock::Millis,
     ) -> Option<http::Request<Full<Bytes>>> {
         let mut builder = http::Request::post(leaf::PATH)
             .header(header::HOST, dispatch.address.as_str())
             .header(leaf::ATTEMPT, name)
             .header(leaf::SHARD, dispatch.shard.as_str())
             .header(leaf::EPOCH, dispatch.epoch)
-            .header(leaf::DEADLINE, left.0);
+            .header(leaf::DEADLINE, remaining.0);
         if let Some(want) = dispatch.want {
-            builder = builder.header(leaf::WANT, want.version);
+            builder = builder.header(leaf::WANT_VERSION, want.version);
         }
         if let Some(key) = &dispatch.key {
             builder = builder.header(leaf::KEY, key.as_str());
@@ -111,55 +119,55 @@
         &self,
         dispatch: &event::Dispatch,
         name: &str,
-        _request: &seam::Request,
+        _request: &protocol::Request,
         head: &http::response::Parts,
         body: Bytes,
-    ) -> seam::Reply {
+    ) -> protocol::Reply {
         let end = match head.status {
-            StatusCode::OK => return read(dispatch, name, &body),
+            StatusCode::OK => return parse_reply(dispatch, name, &body),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 event::Reply::Refused { retry_after: retry_after(&head.headers) }
             }
             StatusCode::CONFLICT => event::Reply::Duplicate,
             _ => event::Reply::Lost(event::Loss::Unusable),
         };
-        seam::Reply { end, payload: None, is_own: true, idle: None }
+        protocol::Reply { end, payload: None, is_matched: true, keep_alive: None }
     }
 }
 
-/// Reads a whole answer. Garbage, and an answer to another attempt, are unknown ends.
-fn read(dispatch: &event::Dispatch, name: &str, bytes: &Bytes) -> seam::Reply {
+/// Parses a complete reply. Whether the request ran is unknown if the reply is malformed or belongs to another attempt.
+fn parse_reply(dispatch: &event::Dispatch, name: &str, bytes: &Bytes) -> protocol::Reply {
     let Ok(reply) = serde_json::from_slice::<leaf::Reply<'_>>(bytes) else {
-        return seam::Reply::lost(event::Loss::Unusable);
+        return protocol::Reply::lost(event::Loss::Unusable);
     };
     if reply.attempt != name || reply.shard != dispatch.shard {
-        return seam::Reply::lost(event::Loss::Mismatched);
+        return protocol::Reply::lost(event::Loss::Mismatched);
     }
     let part =
         event::Part { snapshot: reply.snapshot, held: reply.held, hits: reply.count, load: reply.load, queue: None };
-    let payload = Some(seam::Payload::Hits(reply.hits.to_owned()));
-    seam::Reply { end: event::Reply::Answered(part), payload, is_own: true, idle: None }
+    let payload = Some(protocol::Payload::Hits(reply.hits.to_owned()));
+    protocol::Reply { end: event::Reply::Answered(part), payload, is_matched: true, keep_alive: None }
 }
 
 fn retry_after(headers: &HeaderMap) -> Option<clock::Millis> {
     headers.get(leaf::RETRY_AFTER)?.to_str().ok()?.parse().ok()
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, seam::Refusal> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, protocol::Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
     match value.to_str() {
         Ok(value) => Ok(Some(value)),
-        Err(_) => Err(bad_header(format!("`{name}` has characters that are not ASCII"))),
+        Err(_) => Err(bad_header(format!("`{name}` contains non-ASCII characters"))),
     }
 }
 
-fn bad_header(message: String) -> seam::Refusal {
-    seam::Refusal { status: StatusCode::BAD_REQUEST, code: "bad_header", message }
+fn bad_header(message: String) -> protocol::Refusal {
+    protocol::Refusal { status: StatusCode::BAD_REQUEST, code: "bad_header", message }
 }
 
-/// A response with `value` in JSON.
+/// Builds a response with `value` as the JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> http::Response<Bytes> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = http::Response::new(Bytes::from(bytes));
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,5 +1,5 @@
-//! Host to host: MessagePack with named fields, so that old and new nodes understand each other. Longer messages
-//! are packed for hosts that are known to read that: names of fields and servers come again and again.
+//! Messages between hosts: MessagePack with named fields, so that nodes of different versions can communicate.
+//! Longer messages, which repeat names of fields and servers, are compressed for hosts that support it.
 
 use std::io::{self, Read, Write};
 
@@ -7,61 +7,64 @@
 use shallothub_core::control::message;
 use snafu::{ResultExt, Snafu};
 
-/// First byte of a packed message, which no MessagePack begins with.
-const PACKED: u8 = 0xC1;
-/// Fewest bytes of a message that is packed; shorter ones hardly shrink.
-const PACKED_LEAST: usize = 400;
-/// Most bytes that a packed message may become, so that garbage cannot use up a host's memory: a whole catalog
-/// of the target size.
-const UNPACKED_MOST: u64 = 64 << 20;
+/// First byte of a compressed message; no MessagePack encoding starts with it.
+const COMPRESSED: u8 = 0xC1;
+/// Minimum size of a message to compress; shorter ones hardly shrink.
+const MIN_COMPRESS_BYTES: usize = 400;
+/// Maximum size of a decompressed message, so that malformed input cannot exhaust a host's memory. Large enough
+/// for a complete catalog of the target size.
+const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
 
-/// A message that cannot be written or read.
+/// An error from encoding or decoding a message.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Writing failed.
-    #[snafu(display("a message for another host cannot be written"))]
+    /// MessagePack encoding failed.
+    #[snafu(display("failed to encode a message to another host"))]
     Encode {
-        /// Why.
+        /// The encoder's error.
         source: rmp_serde::encode::Error,
     },
-    /// Reading failed: garbage, or a body that only newer nodes know.
-    #[snafu(display("a message of another host cannot be read"))]
+    /// MessagePack decoding failed: the bytes are malformed, or the body is one that only newer nodes support.
+    #[snafu(display("failed to decode a message from another host"))]
     Decode {
-        /// Why.
+        /// The decoder's error.
         source: rmp_serde::decode::Error,
     },
-    /// Packing or unpacking failed.
-    #[snafu(display("a message of another host cannot be packed or unpacked"))]
-    Pack {
-        /// Why.
+    /// Compression or decompression failed.
+    #[snafu(display("failed to compress or decompress a message of another host"))]
+    Compress {
+        /// The codec's error.
         source: io::Error,
     },
 }
 
-/// The bytes of `message`, packed if that pays and the receiver `packs`.
+/// Encodes `message`; compresses it if `compress` is set and it is long enough to shrink.
 ///
 /// # Errors
-/// The message cannot be written, which is a fault of the program.
-pub fn encode(message: &message::Message, packs: bool) -> Result<Vec<u8>, Error> {
+/// The message cannot be encoded, which is a bug.
+pub fn encode(message: &message::Message, compress: bool) -> Result<Vec<u8>, Error> {
     let bytes = rmp_serde::to_vec_named(message).context(EncodeSnafu)?;
-    if !packs || bytes.len() < PACKED_LEAST {
+    if !compress || bytes.len() < MIN_COMPRESS_BYTES {
         return Ok(bytes);
     }
-    // The fastest level: a small host packs a catalog for dozens of others, and better ones save a few hundredths.
-    let mut packer = DeflateEncoder::new(vec![PACKED], Compression::fast());
-    packer.write_all(&bytes).context(PackSnafu)?;
-    packer.finish().context(PackSnafu)
+    // The fastest level: a small host compresses a catalog for dozens of others, and higher levels save a few percent.
+    let mut encoder = DeflateEncoder::new(vec![COMPRESSED], Compression::fast());
+    encoder.write_all(&bytes).context(CompressSnafu)?;
+    encoder.finish().context(CompressSnafu)
 }
 
-/// The message in `bytes`.
+/// Decodes the message in `bytes`, compressed or not.
 ///
 /// # Errors
-/// The bytes are garbage, or hold a body that only newer nodes know.
+/// The bytes are malformed, or the body is one that only newer nodes support.
 pub fn decode(bytes: &[u8]) -> Result<message::Message, Error> {
-    let Some((&PACKED, packed)) = bytes.split_first() else {
+    let Some((&COMPRESSED, compressed)) = bytes.split_first() else {
         return rmp_serde::from_slice(bytes).context(DecodeSnafu);
     };
-    let mut unpacked = Vec::new();
-    DeflateDecoder::new(packed).take(UNPACKED_MOST).read_to_end(&mut unpacked).context(PackSnafu)?;
-    rmp_serde::from_slice(&unpacked).context(DecodeSnafu)
+    let mut decompressed = Vec::new();
+    DeflateDecoder::new(compressed)
+        .take(MAX_DECOMPRESSED_BYTES)
+        .read_to_end(&mut decompressed)
+        .context(CompressSnafu)?;
+    rmp_serde::from_slice(&decompressed).context(DecodeSnafu)
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,26 +1,26 @@
-//! The platform's configuration service, as the project meets it: it can be read and watched.
+//! The platform's configuration service, which supports reads and watches.
 //!
-//! `GET /v1/value/KEY` answers 200 with the value, or 404. `GET /v1/watch/KEY?after=VERSION&wait_ms=N`
-//! answers as soon as the value is a manifest with another version than `after`, or after `N` ms with
-//! the value as it is. Each call counts against the platform's budget, a waiting watch as one.
+//! `GET /v1/value/KEY` returns 200 with the value, or 404. `GET /v1/watch/KEY?after=VERSION&wait_ms=N`
+//! returns as soon as the value is a manifest with another version than `after`, or after `N` ms with
+//! the current value. Each call counts against the platform's budget; a pending watch counts as one.
 
 use std::fmt;
 
-/// A path of the service.
+/// A request path of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path<'k> {
     /// Read a value.
     Value {
-        /// Its key.
+        /// The key of the value.
         key: &'k str,
     },
     /// Watch a manifest.
     Watch {
-        /// Its key.
+        /// The key of the manifest.
         key: &'k str,
-        /// The version that the reader has.
+        /// The version that the client already has.
         after: u64,
-        /// Longest wait, in ms.
+        /// Maximum wait, in ms.
         wait_ms: u64,
     },
 }
@@ -35,7 +35,7 @@
 }
 
 impl<'k> Path<'k> {
-    /// Reads a path with its query; `None` if it is no path of the service.
+    /// Parses a path and query; `None` if the service has no such path.
     pub fn parse(text: &'k str) -> Option<Self> {
         if let Some(key) = text.strip_prefix("/v1/value/") {
             return Some(Self::Value { key });
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -1,8 +1,8 @@
-//! Requests that one host passes on whole to another, which gathers for it.
+//! Requests that one host relays to another, which gathers on its behalf.
 //!
-//! The request goes as the caller sent it (method, path, headers, body), over HTTP/1.1 to the address
-//! at which the other host takes such requests, with the headers below. The answer comes back as the
-//! caller is to get it, with [`OUTCOME`] added, and these headers taken out before it is handed on.
+//! The caller's request is sent unchanged (method, path, headers, body), over HTTP/1.1 to the other host's
+//! relay address, with the headers below added. The response is the one for the caller, with `OUTCOME`
+//! and `RETRY_AFTER` added; the relaying host removes these before it forwards the response.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -10,38 +10,38 @@
 use http_body_util::Full;
 use shallothub_core::{clock, traffic::event, view};
 
-use crate::seam;
+use crate::protocol;
 
-/// Request header: the name of the host that passes the request on.
+/// Request header: the name of the relaying host.
 const RELAY: HeaderName = HeaderName::from_static("x-shallot-relay");
-/// Request header: time that the caller still gives, in ms.
-const PATIENCE: HeaderName = HeaderName::from_static("x-shallot-patience-ms");
-/// Request header: time until an answer should leave although shards are silent, in ms.
+/// Request header: the caller's remaining timeout, in ms.
+const TIMEOUT: HeaderName = HeaderName::from_static("x-shallot-patience-ms");
+/// Request header: time after which to answer without the shards that have not replied, in ms.
 const SETTLE: HeaderName = HeaderName::from_static("x-shallot-settle-ms");
-/// Request header: the attempt, if its request is suspected and this is a trial.
+/// Request header: the attempt, if the request is suspected of crashing servers and this is its trial.
 const TRIAL: HeaderName = HeaderName::from_static("x-shallot-trial");
-/// Answer header: `answered`, `not_run` or `unknown`.
+/// Response header: `answered`, `not_run` or `unknown`.
 const OUTCOME: HeaderName = HeaderName::from_static("x-shallot-outcome");
-/// Answer header: when to ask this host again, in ms.
+/// Response header: delay before the next request to this host, in ms.
 const RETRY_AFTER: HeaderName = HeaderName::from_static("x-shallot-retry-after-ms");
 
-/// What a request that was passed on says besides what its caller said.
+/// What the relaying host adds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
-    /// The host that passes it on.
+pub struct Metadata {
+    /// The name of the relaying host.
     pub from: CompactString,
-    /// Time that the caller still gives.
-    pub patience: Option<clock::Millis>,
-    /// For the core.
+    /// The caller's remaining timeout; `None` if the header is missing or malformed.
+    pub timeout: Option<clock::Millis>,
+    /// The core's relay parameters.
     pub relayed: event::Relayed,
 }
 
-/// The request that passes `request` on, with `left` ms to go.
+/// Builds the request that relays `request`, with `remaining` as its timeout.
 pub fn request(
-    request: &seam::Request,
+    request: &protocol::Request,
     host: &str,
     relayed: event::Relayed,
-    left: clock::Millis,
+    remaining: clock::Millis,
 ) -> http::Request<Full<Bytes>> {
     let mut out = http::Request::new(Full::new(request.body.clone()));
     *out.method_mut() = request.method.clone();
@@ -49,8 +49,8 @@
     let mut headers = request.headers.clone();
     let host = HeaderValue::from_str(host);
     headers.insert(RELAY, host.unwrap_or_else(|_| HeaderValue::from_static("unnamed")));
-    headers.insert(PATIENCE, HeaderValue::from(left.0));
-    // A caller's own headers give no orders.
+    headers.insert(TIMEOUT, HeaderValue::from(remaining.0));
+    // Values that a caller set itself must not reach the other host.
     headers.remove(SETTLE);
     headers.remove(TRIAL);
     if let Some(settle) = relayed.settle {
@@ -63,43 +63,43 @@
     out
 }
 
-/// Takes the order out of the headers of a request that was passed on; `None` if it has none.
-pub fn take_order(headers: &mut HeaderMap) -> Option<Order> {
+/// Removes the relay headers from a relayed request and parses them; `None` if the request was not relayed.
+pub fn take_metadata(headers: &mut HeaderMap) -> Option<Metadata> {
     let from = CompactString::from(headers.remove(RELAY)?.to_str().unwrap_or_default());
-    let patience = millis(headers.remove(PATIENCE));
+    let timeout = millis(headers.remove(TIMEOUT));
     let settle = millis(headers.remove(SETTLE));
     let trial = number(headers.remove(TRIAL));
-    Some(Order { from, patience, relayed: event::Relayed { settle, trial } })
+    Some(Metadata { from, timeout, relayed: event::Relayed { settle, trial } })
 }
 
-/// Adds to an answer what the host that passed the request on needs to know.
-pub fn mark(headers: &mut HeaderMap, outcome: event::Outcome, retry_after: Option<clock::Millis>) {
+/// Adds the headers for the relaying host to a response.
+pub fn set_outcome(headers: &mut HeaderMap, outcome: event::Outcome, retry_after: Option<clock::Millis>) {
     headers.insert(OUTCOME, HeaderValue::from_static(outcome.as_str()));
     if let Some(span) = retry_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(span.0));
     }
 }
 
-/// Reads the answer of the other host.
-pub fn reply(head: &http::response::Parts, body: Bytes) -> seam::Reply {
+/// Parses the response of the other host; without a valid `OUTCOME`, whether the request ran is unknown.
+pub fn reply(head: &http::response::Parts, body: Bytes) -> protocol::Reply {
     let mut headers = head.headers.clone();
     let outcome = headers.remove(OUTCOME);
     let retry_after = millis(headers.remove(RETRY_AFTER));
-    seam::strip(&mut headers);
-    let whole = seam::Whole { status: head.status, headers, body };
-    let payload = Some(seam::Payload::Whole(Box::new(whole)));
-    let is = |expected: event::Outcome| outcome.as_ref().is_some_and(|value| value == expected.as_str());
-    let (end, payload) = if is(event::Outcome::Answered) {
+    protocol::strip_hop_by_hop(&mut headers);
+    let response = protocol::Response { status: head.status, headers, body };
+    let payload = Some(protocol::Payload::Whole(Box::new(response)));
+    let has_outcome = |expected: event::Outcome| outcome.as_ref().is_some_and(|value| value == expected.as_str());
+    let (end, payload) = if has_outcome(event::Outcome::Answered) {
         let snapshot = view::Snapshot { epoch: 0, version: 0 };
         (event::Reply::Answered(event::Part { snapshot, held: None, hits: 0, load: None, queue: None }), payload)
-    } else if is(event::Outcome::NotRun) {
+    } else if has_outcome(event::Outcome::NotRun) {
         (event::Reply::Refused { retry_after }, None)
-    } else if is(event::Outcome::Unknown) {
+    } else if has_outcome(event::Outcome::Unknown) {
         (event::Reply::Failed, payload)
     } else {
-        return seam::Reply::lost(event::Loss::Unusable);
+        return protocol::Reply::lost(event::Loss::Unusable);
     };
-    seam::Reply { end, payload, is_own: true, idle: None }
+    protocol::Reply { end, payload, is_matched: true, keep_alive: None }
 }
 
 fn millis(value: Option<HeaderValue>) -> Option<clock::Millis> {
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: what is written is read again, and garbage is an error, never a panic.
+//! Messages between hosts: decoding reverses encoding, and malformed input is an error, never a panic.
 
 use proptest::prelude::*;
 use shallothub_core::{catalog, clock, control::message, suspect, view};
@@ -85,8 +85,8 @@
     mood: &'static str,
 }
 
-/// A host that was restarted with a newer program says more than an older one knows. During the
-/// rolling restart the older one takes what it understands and leaves the rest.
+/// During a rolling restart, a node of a newer version may send fields that older ones do not know. Older nodes
+/// must ignore these and decode the rest.
 #[test]
 fn a_field_of_a_newer_program_is_passed_over() {
     let body = message::Body::Digest(Box::default());
--- a/crates/wire/tests/relay.rs
+++ b/crates/wire/tests/relay.rs
@@ -1,38 +1,43 @@
-//! Requests that one host passes on to another.
+//! Requests that one host relays to another.
 
 use bytes::Bytes;
 use shallothub_core::{clock, traffic::event};
-use shallothub_wire::{relay, seam};
+use shallothub_wire::{protocol, relay};
 
-fn passed_on(headers: &[(&'static str, &'static str)], relayed: event::Relayed) -> Option<relay::Order> {
+fn passed_on(headers: &[(&'static str, &'static str)], relayed: event::Relayed) -> Option<relay::Metadata> {
     let headers = headers
         .iter()
         .map(|(name, value)| (http::HeaderName::from_static(name), http::HeaderValue::from_static(value)));
-    let request = seam::Request {
-        ask: seam::Ask { name: "r".into(), to: seam::Destination::Class("sweep".into()), patience: None, key: None },
+    let request = protocol::Request {
+        head: protocol::Head {
+            name: "r".into(),
+            destination: protocol::Destination::Class("sweep".into()),
+            timeout: None,
+            key: None,
+        },
         method: http::Method::GET,
         target: http::Uri::from_static("/sweep"),
         headers: headers.collect(),
         body: Bytes::new(),
     };
     let request = relay::request(&request, "host-1", relayed, clock::Millis(100));
-    relay::take_order(&mut request.headers().clone())
+    relay::take_metadata(&mut request.headers().clone())
 }
 
-/// What one host orders is what the other one reads.
+/// The metadata that one host sends is what the other one parses.
 #[test]
-fn an_order_survives_the_way() {
+fn relay_metadata_round_trips() {
     let relayed = event::Relayed { settle: Some(clock::Millis(40)), trial: Some(u64::MAX) };
-    let order = passed_on(&[], relayed).expect("an order");
-    assert_eq!((order.relayed, order.patience), (relayed, Some(clock::Millis(100))));
+    let metadata = passed_on(&[], relayed).expect("relay metadata");
+    assert_eq!((metadata.relayed, metadata.timeout), (relayed, Some(clock::Millis(100))));
 }
 
-/// A caller writes the headers by which hosts order each other: they must not reach the other host, where they would
-/// let a request through that is held everywhere, or change when an answer leaves.
+/// A caller sets the headers that hosts add to relayed requests. They must not reach the other host, where they would
+/// let through a request that is held on every host, or change the time of the answer.
 #[test]
-fn a_caller_gives_no_orders() {
+fn relay_headers_of_a_caller_are_dropped() {
     let headers = [("x-shallot-trial", "7"), ("x-shallot-settle-ms", "5"), ("x-shallot-relay", "host-9")];
     let relayed = event::Relayed { settle: None, trial: None };
-    let order = passed_on(&headers, relayed).expect("an order");
-    assert_eq!((order.relayed, order.from.as_str()), (relayed, "host-1"));
+    let metadata = passed_on(&headers, relayed).expect("relay metadata");
+    assert_eq!((metadata.relayed, metadata.from.as_str()), (relayed, "host-1"));
 }
