--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -238,7 +238,7 @@
         let Some(registry) = self.shared.interface.registry else {
             return;
         };
-        let path = registry.list(after.as_deref());
+        let path = registry.list_path(after.as_deref());
         let address = self.shared.settings.platform;
         let sender = self.shared.control.clone();
         task::spawn_local(async move {
@@ -274,7 +274,7 @@
         if let Some(follow_task) = self.follow_task.take() {
             follow_task.abort();
         }
-        let path = registry.follow(after, wait);
+        let path = registry.watch_path(after, wait);
         let address = self.shared.settings.platform;
         let sender = self.shared.control.clone();
         let follow_client = Rc::clone(&self.follow_client);
@@ -331,7 +331,7 @@
     }
 }
 
-fn parse_changes(registry: &dyn wire::seam::Registry, response: &platform::Response) -> mirror::Changes {
+fn parse_changes(registry: &dyn wire::protocol::Registry, response: &platform::Response) -> mirror::Changes {
     let is_expected = matches!(response.status, http::StatusCode::OK | http::StatusCode::GONE);
     if !is_expected {
         tracing::info!(status = response.status.as_u16(), "the registry rejected a request for changes");
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -8,7 +8,7 @@
     clock, id,
     traffic::{event, why},
 };
-use shallothub_wire::{relay, seam};
+use shallothub_wire::{protocol, relay};
 use tokio::time::timeout;
 use xitca_http::http::RequestExt;
 use xitca_web::{
@@ -43,7 +43,7 @@
     let (ext, body) = ext.replace_body(());
     let connection = shell.inbound_connection(*ext.socket_addr());
     if connection.as_ref().is_some_and(inbound::Connection::has_sent_close) {
-        let refusal = seam::Refusal {
+        let refusal = protocol::Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "after_last",
             message: "an earlier answer ended this connection; send the request on a new one".to_owned(),
@@ -77,19 +77,19 @@
 ) -> Response<ResponseBody> {
     let _guard = shell.shared.track_request();
     let started = std_time::Instant::now();
-    let relay_params = if source == Source::Hosts { relay::take_order(&mut incoming.headers) } else { None };
+    let relay_params = if source == Source::Hosts { relay::take_metadata(&mut incoming.headers) } else { None };
     if source == Source::Hosts && shell.shared.phase() >= shared::Phase::Draining {
         return refuse_while_draining(shell);
     }
     let (request, caller_timeout) = match read_request(shell, incoming).await {
         Ok((request, caller_timeout)) => {
-            (request, relay_params.as_ref().map_or(caller_timeout, |params| params.patience))
+            (request, relay_params.as_ref().map_or(caller_timeout, |params| params.timeout))
         }
         Err(refusal) => return reject(shell, &refusal, from),
     };
     let elapsed = started.elapsed().as_millis() as u64;
     let caller_timeout = caller_timeout.map(|caller_timeout| caller_timeout - clock::Millis(elapsed));
-    let name = request.ask.name.clone();
+    let name = request.head.name.clone();
     let (caller, receiver) = shell.request(request, caller_timeout, relay_params.as_ref().map(|params| params.relayed));
     let mut hang_up = HangUp { shell: Rc::clone(shell), caller: Some(caller) };
     let answer = tokio::select! {
@@ -107,25 +107,25 @@
     let from = relay_params.as_ref().map(|params| params.from.as_str());
     record_answer(shell, &name, from, &answer, started);
     let (outcome, retry_after) = (answer.core.outcome, answer.core.retry_after);
-    let mut response = respond(shell, shell.shared.interface.callers.answer(answer));
+    let mut response = respond(shell, shell.shared.interface.frontend.answer(answer));
     if source == Source::Hosts {
-        relay::mark(response.headers_mut(), outcome, retry_after);
+        relay::set_outcome(response.headers_mut(), outcome, retry_after);
     }
     response
 }
 
 /// Answers a rejected request, of which nothing more is read.
-fn reject(shell: &Shell, refusal: &seam::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
+fn reject(shell: &Shell, refusal: &protocol::Refusal, from: Option<net::SocketAddr>) -> Response<ResponseBody> {
     tracing::info!(code = refusal.code, detail = %refusal.message, from = ?from, "turned a request away");
     shell.shared.metrics.record_rejection(refusal.code);
-    close_after(respond(shell, shell.shared.interface.callers.refuse(refusal)))
+    close_after(respond(shell, shell.shared.interface.frontend.refuse(refusal)))
 }
 
 /// Refuses a relayed request while this host drains, so that the sender uses another host from now on.
 fn refuse_while_draining(shell: &Shell) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    relay::mark(response.headers_mut(), event::Outcome::NotRun, Some(DRAINING_RETRY_AFTER));
+    relay::set_outcome(response.headers_mut(), event::Outcome::NotRun, Some(DRAINING_RETRY_AFTER));
     close_after(respond(shell, response))
 }
 
@@ -154,15 +154,15 @@
 async fn read_request(
     shell: &Shell,
     incoming: Incoming,
-) -> Result<(seam::Request, Option<clock::Millis>), seam::Refusal> {
+) -> Result<(protocol::Request, Option<clock::Millis>), protocol::Refusal> {
     let Incoming { method, target, mut headers, body } = incoming;
     check_framing(&headers)?;
     check_head(shell, &target, &headers)?;
-    let ask = shell.shared.interface.callers.read(&target, &headers)?;
+    let ask = shell.shared.interface.frontend.parse(&target, &headers)?;
     let body = if body_is_empty(&headers) { Bytes::new() } else { read_body(shell, body).await? };
-    seam::strip(&mut headers);
-    let caller_timeout = ask.patience;
-    Ok((seam::Request { ask, method, target: origin_form(target), headers, body }, caller_timeout))
+    protocol::strip_hop_by_hop(&mut headers);
+    let caller_timeout = ask.timeout;
+    Ok((protocol::Request { head: ask, method, target: origin_form(target), headers, body }, caller_timeout))
 }
 
 fn body_is_empty(headers: &HeaderMap) -> bool {
@@ -180,8 +180,8 @@
 
 /// Rejects ambiguous framing. The library ignores unknown transfer codings and accepts a length with a
 /// sign; either could make it parse a body as the next request.
-fn check_framing(headers: &HeaderMap) -> Result<(), seam::Refusal> {
-    let refusal = |message: &str| seam::Refusal {
+fn check_framing(headers: &HeaderMap) -> Result<(), protocol::Refusal> {
+    let refusal = |message: &str| protocol::Refusal {
         status: StatusCode::BAD_REQUEST,
         code: "bad_framing",
         message: message.to_owned(),
@@ -203,7 +203,7 @@
     Ok(())
 }
 
-fn check_head(shell: &Shell, target: &http::Uri, headers: &HeaderMap) -> Result<(), seam::Refusal> {
+fn check_head(shell: &Shell, target: &http::Uri, headers: &HeaderMap) -> Result<(), protocol::Refusal> {
     let Some(limits) = shell.limits() else {
         return Ok(());
     };
@@ -214,29 +214,29 @@
     if bytes <= limits.header_bytes {
         return Ok(());
     }
-    Err(seam::Refusal {
+    Err(protocol::Refusal {
         status: StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         code: "head_too_large",
         message: format!("the head is over {} bytes; send a smaller one", limits.header_bytes),
     })
 }
 
-async fn read_body(shell: &Shell, body: RequestBody) -> Result<Bytes, seam::Refusal> {
+async fn read_body(shell: &Shell, body: RequestBody) -> Result<Bytes, protocol::Refusal> {
     let settings = &shell.shared.settings;
     let limit = shell.limits().map_or(settings.request_bytes_max, |limits| limits.body_bytes);
     match timeout(time::duration(settings.body_wait_ms), read_limited(body, limit)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(BodyError::TooLarge)) => Err(seam::Refusal {
+        Ok(Err(BodyError::TooLarge)) => Err(protocol::Refusal {
             status: StatusCode::PAYLOAD_TOO_LARGE,
             code: "body_too_large",
             message: format!("the body is over {limit} bytes; send a smaller one"),
         }),
-        Ok(Err(BodyError::Broken)) => Err(seam::Refusal {
+        Ok(Err(BodyError::Broken)) => Err(protocol::Refusal {
             status: StatusCode::BAD_REQUEST,
             code: "body_broken",
             message: "the body ended before its length".to_owned(),
         }),
-        Err(_) => Err(seam::Refusal {
+        Err(_) => Err(protocol::Refusal {
             status: StatusCode::REQUEST_TIMEOUT,
             code: "body_late",
             message: format!("the body did not come within {}", settings.body_wait_ms),
@@ -277,7 +277,7 @@
 }
 
 /// Logs an answer and updates the metrics.
-fn record_answer(shell: &Shell, request: &str, from: Option<&str>, answer: &seam::Answer, started: std_time::Instant) {
+fn record_answer(shell: &Shell, request: &str, from: Option<&str>, answer: &protocol::Answer, started: std_time::Instant) {
     let core = &answer.core;
     let shards = core.contributed.len() + core.missing.len();
     // The caller chooses the name of an unknown class; as label values, such names would be unbounded.
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use shallothub_core::{clock, control, plan, suspect, traffic, view};
 use shallothub_settings::node;
-use shallothub_wire::seam;
+use shallothub_wire::protocol;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::{metrics, time};
@@ -136,7 +136,7 @@
     /// The settings read at start; reloaded ones are not stored here.
     pub settings: node::Settings,
     /// The wire interface that the settings select.
-    pub interface: seam::Interface,
+    pub interface: protocol::Interface,
     /// The addresses in use.
     pub addresses: Addresses,
     /// The origin of the node's clock, common to all threads.
@@ -161,7 +161,7 @@
     /// Creates the state of a node in phase [`Phase::Starting`].
     pub fn new(
         settings: node::Settings,
-        interface: seam::Interface,
+        interface: protocol::Interface,
         addresses: Addresses,
         metrics: metrics::Metrics,
         lanes: Vec<mpsc::UnboundedSender<ToLane>>,
