--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for one address.
+//! An HTTP client for the pages and queries of a node.
 
 use std::net;
 
@@ -11,7 +11,7 @@
 
 use crate::error;
 
-/// A connection that can be used again.
+/// A persistent connection, which sends one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     address: net::SocketAddr,
@@ -29,29 +29,29 @@
         Ok(Self { address, sender })
     }
 
-    /// Whether it can be used again.
+    /// Whether another request can be sent on it.
     pub fn is_open(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole response.
     pub async fn call(&mut self, request: http::Request<Full<Bytes>>) -> Result<http::Response<Bytes>, error::Error> {
         let address = self.address;
         let response = self.sender.send_request(request).await.context(error::CallSnafu { address })?;
         let (head, body) = response.into_parts();
         let body = body.collect().await.context(error::CallSnafu { address })?;
-        // The connection may be closing; the next user looks.
+        // The connection may be closing; the next caller checks `is_open`.
         self.sender.ready().await.ok();
         Ok(http::Response::from_parts(head, body.to_bytes()))
     }
 }
 
-/// Reads `path` once.
+/// Sends a `GET` request for `path` on a new connection.
 pub async fn get(address: net::SocketAddr, path: &str) -> Result<http::Response<Bytes>, error::Error> {
     call(http::Method::GET, address, path).await
 }
 
-/// Posts nothing to `path`.
+/// Sends a `POST` request with an empty body to `path` on a new connection.
 pub async fn post(address: net::SocketAddr, path: &str) -> Result<http::Response<Bytes>, error::Error> {
     call(http::Method::POST, address, path).await
 }
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -8,13 +8,13 @@
 use shallothub_node::{run as node_run, shared};
 use snafu::ResultExt;
 
-use crate::{account, client, documents, error, load, logs, trace};
+use crate::{client, documents, error, load, logs, summary, trace};
 
-/// The whole command line.
+/// Builds the command line, with all subcommands.
 pub fn command() -> Command {
     Command::new("shallotctl")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("The operator's tool of shallothub")
+        .about("Operator tool for shallothub")
         .subcommand_required(true)
         .subcommand(check())
         .subcommand(manifest())
@@ -26,40 +26,47 @@
 
 fn check() -> Command {
     Command::new("check")
-        .about("Check settings or documents and print every fault with line, column and remedy")
-        .arg(Arg::new("settings").long("settings").value_name("FILE").help("Settings of a node"))
-        .arg(Arg::new("documents").long("documents").value_name("DIR").help("Documents, laid out like their keys"))
+        .about("Check settings or documents and print all faults with line, column and remedy")
+        .arg(Arg::new("settings").long("settings").value_name("FILE").help("Settings file of a node"))
+        .arg(
+            Arg::new("documents")
+                .long("documents")
+                .value_name("DIR")
+                .help("Directory of documents, laid out like their keys"),
+        )
 }
 
 fn manifest() -> Command {
     Command::new("manifest")
-        .about("Write the manifests of documents, to be published last")
-        .arg(Arg::new("documents").long("documents").value_name("DIR").required(true).help("Documents"))
+        .about("Write the manifests of documents; publish them after the documents")
+        .arg(Arg::new("documents").long("documents").value_name("DIR").required(true).help("Directory of documents"))
         .arg(
             Arg::new("version")
                 .long("version")
                 .value_name("N")
                 .required(true)
                 .value_parser(value_parser!(u64).range(1..))
-                .help("Higher than the one in force"),
+                .help("Version of the manifests, higher than the one in force"),
         )
 }
 
-fn node() -> Arg {
+fn node_arg() -> Arg {
     Arg::new("node")
         .long("node")
         .value_name("IP:PORT")
         .required(true)
         .value_parser(value_parser!(net::SocketAddr))
-        .help("A node's address for callers")
+        .help("Address on which a node listens for callers")
 }
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Tell which servers a selector reaches, what became of a query, or what all hosts' logs say")
-        .arg(node().required(false).required_unless_present("logs"))
-        .arg(Arg::new("selector").long("selector").value_name("NAME").conflicts_with("query").help("A selector"))
-        .arg(Arg::new("query").long("query").value_name("NAME").help("A query, as its answer named it"))
+        .about("Explain which servers a selector reaches, how a query ended, or why requests in hosts' logs failed")
+        .arg(node_arg().required(false).required_unless_present("logs"))
+        .arg(
+            Arg::new("selector").long("selector").value_name("NAME").conflicts_with("query").help("Name of a selector"),
+        )
+        .arg(Arg::new("query").long("query").value_name("NAME").help("Name of a query, as given in its answer"))
         .arg(
             Arg::new("logs")
                 .long("logs")
@@ -68,14 +75,14 @@
                 .num_args(1..)
                 .conflicts_with_all(["node", "selector", "query"])
                 .value_parser(value_parser!(path::PathBuf))
-                .help("Logs, one file a host, or directories of them: why requests were not answered whole in time"),
+                .help("Log files, one per host, or directories of them; counts late and incomplete requests by reason"),
         )
         .arg(
             Arg::new("request")
                 .long("request")
                 .value_name("NAME")
                 .requires("logs")
-                .help("One request, as its caller named it: its way through the logs, from arrival to cause"),
+                .help("Trace one request, as named by its caller, through the logs"),
         )
         .arg(
             Arg::new("window")
@@ -84,42 +91,40 @@
                 .requires("logs")
                 .default_value("2")
                 .value_parser(value_parser!(u64).range(1..=86_400))
-                .help("Length of the spans of time that are told apart"),
+                .help("Length of the time windows to count by"),
         )
 }
 
 fn status() -> Command {
     Command::new("status")
-        .about("Show what is in force on nodes")
-        .arg(node().action(ArgAction::Append))
+        .about("Show the configuration in force on nodes")
+        .arg(node_arg().action(ArgAction::Append))
         .arg(Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON lines"))
 }
 
 fn release() -> Command {
     Command::new("release")
-        .about("Let a request go that nodes refuse because servers died of it")
-        .arg(node().action(ArgAction::Append))
+        .about("Release a request that nodes refuse because it crashed servers")
+        .arg(node_arg().action(ArgAction::Append))
         .arg(
-            Arg::new("request")
-                .long("request")
-                .value_name("FINGERPRINT")
-                .required(true)
-                .help("Its fingerprint, as `status` shows it; name every node, or the others tell these again"),
+            Arg::new("request").long("request").value_name("FINGERPRINT").required(true).help(
+                "Fingerprint as shown by `status`; give every node, as the others would gossip the suspicion back",
+            ),
         )
 }
 
 fn load() -> Command {
     Command::new("load")
-        .about("Generate an open-loop load and print what came of it")
-        .arg(node().action(ArgAction::Append))
-        .arg(Arg::new("class").long("class").value_name("NAME").required(true).help("The selector to ask for"))
+        .about("Generate an open-loop load and print a report")
+        .arg(node_arg().action(ArgAction::Append))
+        .arg(Arg::new("class").long("class").value_name("NAME").required(true).help("Name of the selector to query"))
         .arg(
             Arg::new("rate")
                 .long("rate")
                 .value_name("N")
                 .default_value("50")
                 .value_parser(value_parser!(f64))
-                .help("Requests a second"),
+                .help("Mean requests per second"),
         )
         .arg(
             Arg::new("seconds")
@@ -127,7 +132,7 @@
                 .value_name("N")
                 .default_value("10")
                 .value_parser(value_parser!(u64).range(1..=86_400))
-                .help("How long"),
+                .help("Duration of the load"),
         )
         .arg(
             Arg::new("seed")
@@ -135,13 +140,13 @@
                 .value_name("N")
                 .default_value("1")
                 .value_parser(value_parser!(u64))
-                .help("Seed of the arrivals"),
+                .help("Seed of the random arrival times"),
         )
-        .arg(Arg::new("keys").long("keys").action(ArgAction::SetTrue).help("Give each request a key of its own"))
-        .arg(Arg::new("json").long("json").value_name("FILE").help("Also write the report there, in JSON"))
+        .arg(Arg::new("keys").long("keys").action(ArgAction::SetTrue).help("Give each request its own idempotency key"))
+        .arg(Arg::new("json").long("json").value_name("FILE").help("Also write the JSON report to this file"))
 }
 
-/// Carries out what the command line says.
+/// Runs the subcommand given on the command line.
 pub async fn run(matches: &ArgMatches) -> Result<(), error::Error> {
     match matches.subcommand() {
         Some(("check", matches)) => run_check(matches),
@@ -150,11 +155,11 @@
         Some(("status", matches)) => run_status(matches).await,
         Some(("release", matches)) => run_release(matches).await,
         Some(("load", matches)) => run_load(matches).await,
-        _ => error::ArgumentSnafu { detail: "no such command; see `shallotctl --help`" }.fail(),
+        _ => error::ArgumentSnafu { detail: "unknown command; see `shallotctl --help`" }.fail(),
     }
 }
 
-fn text<'m>(matches: &'m ArgMatches, name: &str) -> Option<&'m str> {
+fn string_arg<'m>(matches: &'m ArgMatches, name: &str) -> Option<&'m str> {
     matches.get_one::<String>(name).map(String::as_str)
 }
 
@@ -163,8 +168,8 @@
 }
 
 fn run_check(matches: &ArgMatches) -> Result<(), error::Error> {
-    let settings = text(matches, "settings");
-    let directory = text(matches, "documents");
+    let settings = string_arg(matches, "settings");
+    let directory = string_arg(matches, "documents");
     if settings.is_none() && directory.is_none() {
         return error::ArgumentSnafu { detail: "nothing to check; give --settings FILE or --documents DIR" }.fail();
     }
@@ -183,7 +188,7 @@
 }
 
 fn run_manifest(matches: &ArgMatches) -> Result<(), error::Error> {
-    let directory = text(matches, "documents").unwrap_or_default();
+    let directory = string_arg(matches, "documents").unwrap_or_default();
     let version = matches.get_one("version").copied().unwrap_or_default();
     for stamp in documents::write_manifests(path::Path::new(directory), version)? {
         println!("{stamp}");
@@ -198,12 +203,12 @@
     let Some(&address) = addresses(matches).first() else {
         return error::ArgumentSnafu { detail: "give --node IP:PORT" }.fail();
     };
-    if let Some(query) = text(matches, "query") {
+    if let Some(query) = string_arg(matches, "query") {
         let response = client::get(address, &format!("/explain/query/{query}")).await?;
         print!("{}", String::from_utf8_lossy(response.body()));
         return Ok(());
     }
-    let Some(selector) = text(matches, "selector") else {
+    let Some(selector) = string_arg(matches, "selector") else {
         return error::ArgumentSnafu { detail: "give --selector NAME or --query NAME" }.fail();
     };
     let response = client::get(address, &format!("/explain/selector/{selector}")).await?;
@@ -223,32 +228,32 @@
     Ok(())
 }
 
-fn explain_logs(found: &[logs::Log], matches: &ArgMatches) -> Result<(), error::Error> {
-    let Some(request) = text(matches, "request") else {
+fn explain_logs(logs: &[logs::Log], matches: &ArgMatches) -> Result<(), error::Error> {
+    let Some(request) = string_arg(matches, "request") else {
         let seconds: u64 = matches.get_one("window").copied().unwrap_or(1);
-        let mut account = account::Account::new(seconds * 1000);
-        for log in found {
-            log.read(|line, is_whole| account.take(&log.host, line, is_whole))?;
+        let mut summary = summary::Summary::new(seconds * 1000);
+        for log in logs {
+            log.read(|line, is_terminated| summary.add_line(&log.host, line, is_terminated))?;
         }
-        account.finish();
-        return print(&account);
+        summary.finish();
+        return print(&summary);
     };
     let mut trace = trace::Trace::new(request);
-    for log in found {
-        log.read(|line, _| trace.take(&log.host, line))?;
+    for log in logs {
+        log.read(|line, _| trace.add_line(&log.host, line))?;
     }
     if !trace.is_found() {
         let detail =
-            format!("`{request}` is in none of the {} logs; is the log of the host that took it there?", found.len());
+            format!("request `{request}` is in none of the {} logs; add the log of its entry host", logs.len());
         return error::ArgumentSnafu { detail }.fail();
     }
-    for log in found {
-        log.read(|line, _| trace.take_around(&log.host, line))?;
+    for log in logs {
+        log.read(|line, _| trace.add_context_line(&log.host, line))?;
     }
     print(&trace)
 }
 
-/// Prints what may be long. A reader that has seen enough, such as a pager, is no fault.
+/// Prints text that may be long. Ignores a closed pipe, as when a pager exits early.
 fn print(text: &dyn fmt::Display) -> Result<(), error::Error> {
     match write!(io::stdout().lock(), "{text}") {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => {
@@ -275,7 +280,7 @@
 }
 
 async fn run_release(matches: &ArgMatches) -> Result<(), error::Error> {
-    let request = text(matches, "request").unwrap_or_default();
+    let request = string_arg(matches, "request").unwrap_or_default();
     for address in addresses(matches) {
         let response = client::post(address, &format!("/release/{request}")).await?;
         print!("{address}: {}", String::from_utf8_lossy(response.body()));
@@ -294,16 +299,16 @@
     if !status.evacuated.is_empty() {
         println!("  evacuated data centres: {}", status.evacuated.join(", "));
     }
-    for told in &status.suspects {
-        let fingerprint = told.fingerprint.map(|fingerprint| format!("{fingerprint}")).unwrap_or_default();
-        let standing = match told.standing() {
+    for suspect in &status.suspects {
+        let fingerprint = suspect.fingerprint.map(|fingerprint| format!("{fingerprint}")).unwrap_or_default();
+        let standing = match suspect.standing() {
             None => "answered by a server, so not suspected".to_owned(),
             Some(standing) => {
-                let (name, wait, trials) = (standing.as_str(), standing.trial_at(), told.tried.len());
+                let (name, wait, trials) = (standing.as_str(), standing.trial_at(), suspect.tried.len());
                 format!("{name}, next trial in {wait}, {trials} trials so far")
             }
         };
-        println!("  request {fingerprint}: {standing}; lost with {}", told.servers.join(", "));
+        println!("  request {fingerprint}: {standing}; lost with {}", suspect.servers.join(", "));
     }
     println!("  watches the platform: {}; calls so far: {}", status.watcher, status.control.platform_calls);
     for fault in &status.refused {
@@ -314,13 +319,13 @@
 async fn run_load(matches: &ArgMatches) -> Result<(), error::Error> {
     let rate: f64 = matches.get_one("rate").copied().unwrap_or(1.0);
     if !(rate > 0.0 && rate <= 1_000_000.0) {
-        return error::ArgumentSnafu { detail: "--rate wants a number above 0" }.fail();
+        return error::ArgumentSnafu { detail: "--rate must be above 0 and at most 1000000" }.fail();
     }
     let plan = load::Plan {
         targets: addresses(matches),
-        class: CompactString::from(text(matches, "class").unwrap_or_default()),
+        class: CompactString::from(string_arg(matches, "class").unwrap_or_default()),
         rate,
-        span: Duration::from_secs(matches.get_one("seconds").copied().unwrap_or(10)),
+        duration: Duration::from_secs(matches.get_one("seconds").copied().unwrap_or(10)),
         seed: matches.get_one("seed").copied().unwrap_or(1),
         with_keys: matches.get_flag("keys"),
     };
@@ -330,7 +335,7 @@
         Err(error) => return error::WriteSnafu { detail: error.to_string() }.fail(),
     };
     println!("{json}");
-    if let Some(path) = text(matches, "json") {
+    if let Some(path) = string_arg(matches, "json") {
         fs::write(path, json).context(error::FileSnafu { path })?;
     }
     Ok(())
--- a/crates/ctl/src/documents.rs
+++ b/crates/ctl/src/documents.rs
@@ -1,4 +1,4 @@
-//! Documents in a directory that is laid out like the platform's keys:
+//! Reads and checks documents in a directory that is laid out like the platform's keys:
 //! `DIR/shallothub/services/NAME.yaml`, `selectors/`, `evacuations/`, `hosts/`, and the two manifests
 //! `DIR/shallothub/config.yaml` and `DIR/shallothub/hosts.yaml`.
 
@@ -14,10 +14,10 @@
 
 const ROOT: &str = "shallothub";
 
-/// Where operators say which data centres are evacuated; most of the time none is, and nobody needs the directory.
+/// Directory that lists evacuated data centres. It is optional, since usually no data centre is evacuated.
 const EVACUATIONS: &str = "evacuations";
 
-/// Which directories hold the parts of a catalog.
+/// The directories that hold the parts of a catalog.
 fn folders(kind: catalog::Kind) -> &'static [&'static str] {
     match kind {
         catalog::Kind::Config => &["services", "selectors", EVACUATIONS],
@@ -25,7 +25,7 @@
     }
 }
 
-/// The parts of a catalog by key, in order of the keys.
+/// Reads the parts of a catalog, sorted by key.
 pub fn read(directory: &path::Path, kind: catalog::Kind) -> Result<IndexMap<CompactString, String>, error::Error> {
     let mut parts = IndexMap::new();
     for folder in folders(kind) {
@@ -48,7 +48,7 @@
     Ok(parts)
 }
 
-/// Every fault of the documents, as a node would find them.
+/// Returns all faults of the documents, with the checks that a node makes.
 pub fn check(directory: &path::Path) -> Result<Vec<plan::Fault>, error::Error> {
     let mut faults = Vec::new();
     for kind in catalog::Kind::ALL {
@@ -59,7 +59,7 @@
                 Ok(part) => {
                     parsed.insert(key.clone(), part);
                 }
-                Err(found) => faults.extend(found),
+                Err(part_faults) => faults.extend(part_faults),
             }
         }
         faults.extend(plan::check(&parsed));
@@ -84,20 +84,20 @@
         Ok(manifest) => manifest,
         Err(faults) => return Ok(faults),
     };
-    let found: IndexMap<CompactString, catalog::Digest> =
+    let actual: IndexMap<CompactString, catalog::Digest> =
         parts.iter().map(|(key, text)| (key.clone(), catalog::Digest::of(text))).collect();
-    if found == manifest.parts {
+    if actual == manifest.parts {
         return Ok(Vec::new());
     }
     Ok(vec![plan::Fault {
         document: CompactString::from(name),
         position: plan::Position { line: 1, column: 1 },
-        problem: "the manifest does not fit the parts beside it".to_owned(),
-        remedy: "make it anew with `shallotctl manifest`, with a higher version".to_owned(),
+        problem: "the manifest does not match the documents beside it".to_owned(),
+        remedy: "write it again with `shallotctl manifest` and a higher version".to_owned(),
     }])
 }
 
-/// Writes the manifests of a directory; returns their stamps.
+/// Writes the manifests of a directory; returns the kind and stamp of each.
 pub fn write_manifests(directory: &path::Path, version: u64) -> Result<Vec<CompactString>, error::Error> {
     let mut stamps = Vec::new();
     for kind in catalog::Kind::ALL {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,66 +1,66 @@
-//! Errors of the operator's tool; each says what to do.
+//! Errors of the operator's tool; the messages state a remedy where there is one.
 
 use std::{io, net};
 
 use shallothub_core::plan;
 use snafu::Snafu;
 
-/// Why a command failed.
+/// An error that makes a command fail.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A file cannot be read or written.
+    /// A file or directory cannot be read or written.
     #[snafu(display("{path}: {source}"))]
     File {
-        /// The path.
+        /// Path of the file or directory.
         path: String,
-        /// Why.
+        /// The error of the file operation.
         source: io::Error,
     },
-    /// Documents or settings have faults.
+    /// Documents have faults.
     #[snafu(display("{}", faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")))]
     Faults {
-        /// All of them.
+        /// All faults that were found.
         faults: Vec<plan::Fault>,
     },
-    /// The settings of a node cannot be used.
+    /// The settings of a node are invalid or cannot be read.
     #[snafu(display("{source}"))]
     Settings {
-        /// Why.
+        /// The error, with the faults of the settings.
         source: shallothub_node::error::Error,
     },
-    /// A node cannot be reached.
-    #[snafu(display("no connection to {address}: {source}; does a node listen there?"))]
+    /// The connection to a node failed.
+    #[snafu(display("failed to connect to {address}: {source}; check that a node listens there"))]
     Connect {
-        /// Its address.
+        /// Address of the node.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the socket.
         source: io::Error,
     },
-    /// A call broke off.
-    #[snafu(display("{address} broke off: {source}"))]
+    /// The HTTP handshake, the request or its response failed.
+    #[snafu(display("request to {address} failed: {source}"))]
     Call {
-        /// The node's address.
+        /// Address of the node.
         address: net::SocketAddr,
-        /// Why.
+        /// The error of the HTTP connection.
         source: hyper::Error,
     },
-    /// A request cannot be made.
-    #[snafu(display("the request cannot be made: {source}"))]
+    /// A request cannot be built, as when an argument is not valid in a path.
+    #[snafu(display("failed to build the request: {source}"))]
     Request {
-        /// Why.
+        /// The error of the request builder.
         source: http::Error,
     },
-    /// A value cannot be written as YAML or JSON.
-    #[snafu(display("cannot write the result: {detail}"))]
+    /// A value cannot be encoded, decoded or printed.
+    #[snafu(display("failed to encode, decode or print a value: {detail}"))]
     Write {
-        /// Why.
+        /// Message of the underlying error.
         detail: String,
     },
-    /// An argument makes no sense.
+    /// An argument is missing or invalid.
     #[snafu(display("{detail}"))]
     Argument {
-        /// What is wrong, with the remedy.
+        /// The problem and its remedy.
         detail: String,
     },
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,7 +1,6 @@
-//! The operator's tool, `shallotctl`: it checks what will be published, makes manifests, asks
-//! running nodes, reads their logs, and generates load.
+//! The operator's tool, `shallotctl`: checks documents before they are published, writes their
+//! manifests, queries running nodes, analyzes their logs, and generates load.
 
-pub mod account;
 pub mod client;
 pub mod command;
 pub mod documents;
@@ -9,4 +8,5 @@
 pub mod line;
 pub mod load;
 pub mod logs;
+pub mod summary;
 pub mod trace;
--- a/crates/ctl/src/line.rs
+++ b/crates/ctl/src/line.rs
@@ -1,78 +1,78 @@
-//! Lines of nodes' logs, as far as they tell what became of a request.
+//! Parsing of nodes' log lines: the fields that describe a request or an attempt.
 
 use std::time;
 
 use compact_str::CompactString;
 use serde::Deserialize;
 
-/// Longest line that is read, in bytes; a node's own have some hundred.
-pub const LINE_MOST: usize = 64 << 10;
+/// Maximum length of a line that is read, in bytes; lines written by a node have a few hundred.
+pub const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// A line of a node's log. Fields that it does not have are empty.
+/// A line of a node's log. Absent fields have their default value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Line {
-    /// When it was written, by the host's own clock, in RFC 3339.
+    /// Time at which it was written, by the host's clock, in RFC 3339.
     pub timestamp: CompactString,
-    /// What happened; each kind of line has one text.
+    /// The message; constant for each kind of line.
     pub message: CompactString,
-    /// The caller's name for its request.
+    /// Name that the caller gave the request.
     pub request: CompactString,
-    /// The kind of request.
+    /// Class of the request: the name of its selector.
     pub class: CompactString,
-    /// `answered`, `not_run` or `unknown`.
+    /// Outcome of the request: `answered`, `not_run` or `unknown`.
     pub outcome: CompactString,
-    /// Why it ended so.
+    /// Code that explains the outcome, such as `partial` or `timed_out`.
     pub code: CompactString,
-    /// The inputs that decided.
+    /// The inputs that decided the outcome; empty if the code is explanation enough.
     pub why: CompactString,
-    /// The host that passed the request on to this one.
+    /// The host that forwarded the request to this one; `None` if it came from the caller.
     pub from: Option<CompactString>,
-    /// The host that gathered it for this one.
+    /// The host that gathered the answer on behalf of this one; `None` if this host did.
     pub via: Option<CompactString>,
-    /// Shards that were asked for.
+    /// Number of shards that contributed to the answer or are missing; 0 if none was determined.
     pub shards: usize,
-    /// Names of the missing ones, with commas.
+    /// Names of the missing shards, separated by commas.
     pub missing: CompactString,
-    /// First attempts.
+    /// Number of first attempts; hedges and retries are not included.
     pub first: u32,
-    /// Time from the request to its answer, in ms.
+    /// Time from the arrival of the request to its answer, in ms.
     pub took_ms: u64,
-    /// Time from the aim to the answer, in ms; absent if it was in time.
+    /// Time by which the answer missed its latency target, in ms; `None` if it was in time.
     pub late_ms: Option<u64>,
-    /// A backend server or another host.
+    /// Name of the backend server or host that an attempt was sent to.
     pub server: CompactString,
-    /// A shard.
+    /// Name of the shard that an attempt was for.
     pub shard: CompactString,
-    /// Why another attempt was wanted.
+    /// Reason for which another attempt was wanted, such as `silence`.
     pub cause: CompactString,
-    /// How an attempt ended.
+    /// Result of a failed attempt, such as `refused`.
     pub end: CompactString,
 }
 
 impl Line {
-    /// Reads a line; `None` if it is not one of a node. What a collector of logs has put before the JSON is
-    /// passed over.
-    pub fn read(text: &str) -> Option<Self> {
+    /// Parses a line; `None` if it was not written by a node. A prefix before the JSON, as added by a log
+    /// collector, is ignored.
+    pub fn parse(text: &str) -> Option<Self> {
         let json = &text[text.find('{')?..];
         let line: Self = serde_json::from_str(json.trim_end()).ok()?;
         (!line.message.is_empty()).then_some(line)
     }
 
-    /// When it was written, in ms since 1970; `None` if it does not say.
-    pub fn at(&self) -> Option<u64> {
-        let at = humantime::parse_rfc3339_weak(&self.timestamp).ok()?;
-        let since = at.duration_since(time::UNIX_EPOCH).ok()?;
-        u64::try_from(since.as_millis()).ok()
+    /// Time at which it was written, in ms since the Unix epoch; `None` if `timestamp` is absent or invalid.
+    pub fn timestamp_ms(&self) -> Option<u64> {
+        let written_at = humantime::parse_rfc3339_weak(&self.timestamp).ok()?;
+        let since_epoch = written_at.duration_since(time::UNIX_EPOCH).ok()?;
+        u64::try_from(since_epoch.as_millis()).ok()
     }
 
-    /// Names of the missing shards.
+    /// Splits `missing` into names of shards.
     pub fn missing_shards(&self) -> impl Iterator<Item = &str> {
         self.missing.split(',').filter(|name| !name.is_empty())
     }
 }
 
-/// Names of servers in the deciding inputs of a request: the words after "waits for" and "of".
+/// Names of servers in the `why` field of a line: the words after `for`, `of` and `from`.
 pub fn servers(why: &str) -> impl Iterator<Item = &str> {
     let words = why.split_whitespace().collect::<Vec<_>>();
     let mut names = Vec::new();
--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -1,6 +1,6 @@
-//! An open-loop load: arrivals follow a clock and never wait for answers, so a slow system is not
-//! spared the load that would have come (no coordinated omission). Latency counts from the instant
-//! at which a request was due, not from the one at which it was sent.
+//! An open-loop load generator: arrivals follow a schedule and never wait for answers, so a slow
+//! system still receives the full load (no coordinated omission). Latency is measured from the
+//! instant at which a request was due, not from the one at which it was sent.
 
 use std::{
     cell::RefCell,
@@ -22,63 +22,63 @@
 
 use crate::{client, error};
 
-/// Longest latency that a histogram holds, in microseconds.
-const LATENCY_MAX: u64 = 120_000_000;
-/// Longest wait for the last answers.
-const LINGER: Duration = Duration::from_secs(10);
+/// Maximum latency that a histogram records, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 120_000_000;
+/// Maximum wait for outstanding answers after the last arrival.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A load to generate.
+/// Parameters of the load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Nodes that get requests in turn.
+    /// Nodes to send requests to, in rotation.
     pub targets: Vec<net::SocketAddr>,
-    /// The selector to ask for.
+    /// Name of the selector to query.
     pub class: CompactString,
-    /// Arrivals a second, spread as a Poisson process.
+    /// Mean arrivals per second, as a Poisson process.
     pub rate: f64,
-    /// How long.
-    pub span: Duration,
-    /// Seed of the arrivals.
+    /// Time over which requests arrive.
+    pub duration: Duration,
+    /// Seed of the random arrival times.
     pub seed: u64,
-    /// Whether each request carries a key of its own.
+    /// Whether each request carries its own idempotency key.
     pub with_keys: bool,
 }
 
-/// What came of a load. Latencies are in ms.
+/// Results of a load. Latencies are in ms.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Report {
-    /// The selector.
+    /// Name of the selector that was queried.
     pub class: CompactString,
-    /// Seed of the arrivals.
+    /// Seed of the random arrival times.
     pub seed: u64,
-    /// Requests sent.
+    /// Number of requests that were due, including those that failed.
     pub requests: u64,
-    /// Answers a second that were answered.
+    /// Requests per second with the outcome `answered`.
     pub goodput: f64,
     /// Median latency of answered requests.
     pub p50: f64,
-    /// 99 of 100 answered requests were faster.
+    /// 99th percentile of the latency of answered requests.
     pub p99: f64,
-    /// 999 of 1000 answered requests were faster.
+    /// 99.9th percentile of the latency of answered requests.
     pub p999: f64,
-    /// Median latency of refusals.
+    /// Median latency of requests with another outcome than `answered`.
     pub refusal_p50: f64,
-    /// Mean coverage of answered requests.
+    /// Mean coverage of answered requests, the fraction of shards in an answer.
     pub coverage_mean: f64,
-    /// Least coverage of an answered request.
+    /// Minimum coverage of an answered request.
     pub coverage_least: f64,
-    /// Attempts for each first attempt.
+    /// Ratio of all attempts, with hedges and retries, to first attempts.
     pub attempts_per_first: f64,
-    /// Requests by outcome.
+    /// Number of answers by outcome.
     pub outcomes: IndexMap<CompactString, u64>,
-    /// Requests by code.
+    /// Number of answers by code.
     pub codes: IndexMap<CompactString, u64>,
-    /// Refusals without a time to come back.
+    /// Refusals without a retry-after time.
     pub without_retry_after: u64,
-    /// Answers whose body contradicts itself: parts and missing do not add up.
+    /// Inconsistent answers, in which parts and missing shards do not add up to all shards.
     pub wrong_coverage: u64,
-    /// Requests that got no HTTP answer.
+    /// Requests without a readable answer.
     pub errors: u64,
 }
 
@@ -87,14 +87,14 @@
     refused: Histogram<u64>,
     coverage_sum: f64,
     coverage_least: f64,
-    first: u64,
-    extra: u64,
+    first_attempts: u64,
+    extra_attempts: u64,
     report: Report,
 }
 
 impl Tally {
     fn new(plan: &Plan) -> Result<Self, error::Error> {
-        let histogram = || match Histogram::new_with_max(LATENCY_MAX, 3) {
+        let histogram = || match Histogram::new_with_max(MAX_LATENCY_US, 3) {
             Ok(histogram) => Ok(histogram),
             Err(error) => error::WriteSnafu { detail: error.to_string() }.fail(),
         };
@@ -104,8 +104,8 @@
             refused: histogram()?,
             coverage_sum: 0.0,
             coverage_least: 1.0,
-            first: 0,
-            extra: 0,
+            first_attempts: 0,
+            extra_attempts: 0,
             report,
         })
     }
@@ -115,17 +115,17 @@
             self.report.errors += 1;
             return;
         };
-        let took = due.elapsed().as_micros() as u64;
+        let latency = due.elapsed().as_micros() as u64;
         *self.report.outcomes.entry(compact_str::format_compact!("{}", answer.outcome)).or_default() += 1;
         *self.report.codes.entry(compact_str::format_compact!("{}", answer.code)).or_default() += 1;
-        self.first += u64::from(answer.cost.first);
-        self.extra += u64::from(answer.cost.hedges + answer.cost.retries);
+        self.first_attempts += u64::from(answer.cost.first);
+        self.extra_attempts += u64::from(answer.cost.hedges + answer.cost.retries);
         if answer.outcome != event::Outcome::Answered {
-            self.refused.saturating_record(took);
+            self.refused.saturating_record(latency);
             self.report.without_retry_after += u64::from(answer.retry_after_ms.is_none());
             return;
         }
-        self.answered.saturating_record(took);
+        self.answered.saturating_record(latency);
         let shards = answer.shards as usize;
         let is_wrong = answer.parts.len() + answer.missing.len() != shards;
         self.report.wrong_coverage += u64::from(is_wrong);
@@ -137,7 +137,7 @@
     fn finish(mut self, plan: &Plan) -> Report {
         let ms = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
         let answered = self.answered.len();
-        self.report.goodput = answered as f64 / plan.span.as_secs_f64();
+        self.report.goodput = answered as f64 / plan.duration.as_secs_f64();
         self.report.p50 = ms(&self.answered, 0.5);
         self.report.p99 = ms(&self.answered, 0.99);
         self.report.p999 = ms(&self.answered, 0.999);
@@ -146,59 +146,60 @@
             self.report.coverage_mean = self.coverage_sum / answered as f64;
             self.report.coverage_least = self.coverage_least;
         }
-        self.report.attempts_per_first = (self.first + self.extra) as f64 / self.first.max(1) as f64;
+        self.report.attempts_per_first =
+            (self.first_attempts + self.extra_attempts) as f64 / self.first_attempts.max(1) as f64;
         self.report
     }
 }
 
-/// Idle connections by target.
-type Idle = Rc<RefCell<IndexMap<net::SocketAddr, Vec<client::Connection>>>>;
+/// Idle connections by target, for reuse.
+type Pool = Rc<RefCell<IndexMap<net::SocketAddr, Vec<client::Connection>>>>;
 
-/// Generates the load and waits for the last answers. Must run inside a local task set.
+/// Generates the load and waits up to 10 s for outstanding answers. Must run inside a local task set.
 pub async fn run(plan: &Plan) -> Result<Report, error::Error> {
     let tally = Rc::new(RefCell::new(Tally::new(plan)?));
-    let idle: Idle = Rc::default();
-    let mut random = rngs::SmallRng::seed_from_u64(plan.seed);
+    let pool: Pool = Rc::default();
+    let mut rng = rngs::SmallRng::seed_from_u64(plan.seed);
     let mut running = task::JoinSet::new();
     let start = Instant::now();
     let mut due = start;
-    let mut number = 0_u64;
+    let mut sent = 0_u64;
     loop {
-        let gap = -(1.0 - random.random::<f64>()).ln() / plan.rate;
-        due += Duration::from_secs_f64(gap);
-        if due.duration_since(start) >= plan.span {
+        let interarrival = -(1.0 - rng.random::<f64>()).ln() / plan.rate;
+        due += Duration::from_secs_f64(interarrival);
+        if due.duration_since(start) >= plan.duration {
             break;
         }
         time::sleep_until(due.into()).await;
-        let target = plan.targets[number as usize % plan.targets.len()];
-        let key = plan.with_keys.then(|| compact_str::format_compact!("load-{}-{number}", plan.seed));
-        number += 1;
-        running.spawn_local(one(plan.class.clone(), target, key, due, Rc::clone(&tally), Rc::clone(&idle)));
+        let target = plan.targets[sent as usize % plan.targets.len()];
+        let key = plan.with_keys.then(|| compact_str::format_compact!("load-{}-{sent}", plan.seed));
+        sent += 1;
+        running.spawn_local(run_request(plan.class.clone(), target, key, due, Rc::clone(&tally), Rc::clone(&pool)));
         while running.try_join_next().is_some() {}
     }
-    let drained = async { while running.join_next().await.is_some() {} };
-    let is_late = time::timeout(LINGER, drained).await.is_err();
+    let drain = async { while running.join_next().await.is_some() {} };
+    let has_timed_out = time::timeout(DRAIN_TIMEOUT, drain).await.is_err();
     let mut tally = match Rc::try_unwrap(tally) {
         Ok(tally) => tally.into_inner(),
         Err(shared) => shared.replace(Tally::new(plan)?),
     };
-    tally.report.requests = number;
-    if is_late {
+    tally.report.requests = sent;
+    if has_timed_out {
         tally.report.errors += running.len() as u64;
     }
     Ok(tally.finish(plan))
 }
 
-async fn one(
+async fn run_request(
     class: CompactString,
     target: net::SocketAddr,
     key: Option<CompactString>,
     due: Instant,
     tally: Rc<RefCell<Tally>>,
-    idle: Idle,
+    pool: Pool,
 ) {
-    let called = call(&class, target, key, &idle).await;
-    match called {
+    let result = call(&class, target, key, &pool).await;
+    match result {
         Ok(body) => tally.borrow_mut().record(due, &body),
         Err(_) => tally.borrow_mut().report.errors += 1,
     }
@@ -208,7 +209,7 @@
     class: &str,
     target: net::SocketAddr,
     key: Option<CompactString>,
-    idle: &Idle,
+    pool: &Pool,
 ) -> Result<Bytes, error::Error> {
     let mut request = http::Request::post(format!("/query/{class}")).header(http::header::HOST, target.to_string());
     if let Some(key) = key {
@@ -216,14 +217,14 @@
     }
     let body = Full::new(Bytes::from_static(b"{\"text\":\"krabi\"}"));
     let request = snafu::ResultExt::context(request.body(body), error::RequestSnafu)?;
-    let kept = idle.borrow_mut().get_mut(&target).and_then(Vec::pop).filter(client::Connection::is_open);
-    let mut connection = match kept {
+    let pooled = pool.borrow_mut().get_mut(&target).and_then(Vec::pop).filter(client::Connection::is_open);
+    let mut connection = match pooled {
         Some(connection) => connection,
         None => client::Connection::open(target).await?,
     };
     let response = connection.call(request).await?;
     if connection.is_open() {
-        idle.borrow_mut().entry(target).or_default().push(connection);
+        pool.borrow_mut().entry(target).or_default().push(connection);
     }
     Ok(response.into_body())
 }
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -1,4 +1,4 @@
-//! Reading the logs of hosts: one file a host, or a directory of such files.
+//! Reads the logs of hosts: one file per host, or a directory of such files.
 
 use std::{
     fs, io,
@@ -10,18 +10,18 @@
 
 use crate::{error, line};
 
-/// A host's log.
+/// The log file of a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Log {
-    /// The host: the file's name without its extension.
+    /// Name of the host: the file name without its extension.
     pub host: String,
     path: path::PathBuf,
 }
 
-/// The logs that `paths` name, in order of the hosts.
+/// Finds the logs at `paths`, which are files or directories of files, sorted by host.
 ///
 /// # Errors
-/// A path does not exist, or a directory cannot be listed; there is no log at all.
+/// Fails if a path does not exist, a directory cannot be listed, or no log is found.
 pub fn find(paths: &[path::PathBuf]) -> Result<Vec<Log>, error::Error> {
     let mut logs = Vec::new();
     for path in paths {
@@ -38,7 +38,7 @@
         }
     }
     if logs.is_empty() {
-        return error::ArgumentSnafu { detail: "there is no log; give files, or a directory with one file a host" }
+        return error::ArgumentSnafu { detail: "no logs found; give files, or a directory with one file a host" }
             .fail();
     }
     logs.sort_by(|left, right| left.host.cmp(&right.host));
@@ -51,26 +51,26 @@
 }
 
 impl Log {
-    /// Hands each line to `take`, and whether it was whole. What is not UTF-8 is replaced, and of a line that
-    /// is far longer than any of a node the rest is passed over.
+    /// Calls `on_line` with each line and whether it ended with an end of line. Invalid UTF-8 is replaced, and
+    /// lines are cut at [`line::MAX_LINE_BYTES`], which is far longer than any line of a node.
     ///
     /// # Errors
-    /// The file cannot be read.
-    pub fn read(&self, mut take: impl FnMut(&str, bool)) -> Result<(), error::Error> {
+    /// Fails if the file cannot be read.
+    pub fn read(&self, mut on_line: impl FnMut(&str, bool)) -> Result<(), error::Error> {
         let context = || error::FileSnafu { path: self.path.display().to_string() };
         let file = fs::File::open(&self.path).with_context(|_| context())?;
         let mut reader = io::BufReader::new(file);
         let mut bytes = Vec::new();
         loop {
             bytes.clear();
-            let most = line::LINE_MOST as u64;
-            let count = reader.by_ref().take(most).read_until(b'\n', &mut bytes).with_context(|_| context())?;
+            let max_bytes = line::MAX_LINE_BYTES as u64;
+            let count = reader.by_ref().take(max_bytes).read_until(b'\n', &mut bytes).with_context(|_| context())?;
             if count == 0 {
                 return Ok(());
             }
-            let is_whole = bytes.ends_with(b"\n");
-            take(&String::from_utf8_lossy(&bytes), is_whole);
-            if !is_whole && count as u64 == most {
+            let is_terminated = bytes.ends_with(b"\n");
+            on_line(&String::from_utf8_lossy(&bytes), is_terminated);
+            if !is_terminated && count as u64 == max_bytes {
                 reader.skip_until(b'\n').with_context(|_| context())?;
             }
         }
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,4 +1,4 @@
-//! One request's way through the hosts, from its lines in their logs.
+//! Traces one request through the hosts, from its lines in their logs.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 
 use crate::line;
 
-/// Lines that are kept of a request and of what it met; a request has some tens.
-const LINES_MOST: usize = 512;
-/// Time before a request's first line, and after its last one, in which lines about the servers that it met may
-/// tell why they did not answer, in ms.
-const AROUND: u64 = 3000;
-/// Kinds of lines that tell of a whole host, whichever request is looked for.
-const OF_HOSTS: [&str; 5] = [
+/// Maximum number of lines kept of a request, and of its context; a request has a few tens.
+const MAX_LINES: usize = 512;
+/// Time before a request's arrival and after its last line, in ms, in which lines about its servers and hosts count
+/// as context: they may show why a server did not answer.
+const CONTEXT_MS: u64 = 3000;
+/// Messages about a host as a whole, which are context for every request on that host.
+const HOST_MESSAGES: [&str; 5] = [
     "the process was stopped for a while",
     "lost the registry",
     "hears from other hosts again",
@@ -21,21 +21,21 @@
     "draining",
 ];
 
-/// A line that is kept.
+/// A log line to be printed.
 #[derive(Clone, Debug)]
-struct Kept {
-    at: u64,
+struct Record {
+    timestamp_ms: u64,
     host: CompactString,
     text: String,
 }
 
-/// See the module. It needs two readings of the logs: one for the request's own lines, and one for lines about
-/// the servers and hosts that these name.
+/// The lines about one request. The logs are read twice: first for the request's own lines, then for context, the
+/// lines about the servers and hosts that its own lines name.
 #[derive(Debug)]
 pub struct Trace {
     request: CompactString,
-    lines: Vec<Kept>,
-    around: Vec<Kept>,
+    lines: Vec<Record>,
+    context: Vec<Record>,
     servers: IndexSet<CompactString>,
     hosts: IndexSet<CompactString>,
     begin: u64,
@@ -44,12 +44,12 @@
 }
 
 impl Trace {
-    /// The way of the request that its caller calls `request`.
+    /// Creates an empty trace of the request that its caller named `request`.
     pub fn new(request: &str) -> Self {
         Self {
             request: CompactString::from(request),
             lines: Vec::new(),
-            around: Vec::new(),
+            context: Vec::new(),
             servers: IndexSet::new(),
             hosts: IndexSet::new(),
             begin: u64::MAX,
@@ -58,57 +58,57 @@
         }
     }
 
-    /// The first reading: takes a line of `host` if it is about the request.
-    pub fn take(&mut self, host: &str, text: &str) {
-        // Most lines are of other requests; looking for the name is cheaper than reading the line.
+    /// First pass: adds a line from `host`'s log if it is about the request.
+    pub fn add_line(&mut self, host: &str, text: &str) {
+        // Most lines are about other requests; searching for the name is cheaper than parsing the line.
         if !text.contains(self.request.as_str()) {
             return;
         }
-        let Some(line) = line::Line::read(text).filter(|line| line.request == self.request) else {
+        let Some(line) = line::Line::parse(text).filter(|line| line.request == self.request) else {
             return;
         };
-        let at = line.at().unwrap_or_default();
-        // The line is written when the request ends, and tells when it came.
-        self.begin = self.begin.min(at.saturating_sub(line.took_ms));
-        self.end = self.end.max(at);
+        let timestamp_ms = line.timestamp_ms().unwrap_or_default();
+        // The line is written when the request ends; `took_ms` gives its arrival.
+        self.begin = self.begin.min(timestamp_ms.saturating_sub(line.took_ms));
+        self.end = self.end.max(timestamp_ms);
         self.hosts.insert(CompactString::from(host));
         self.servers.extend([&line.server].into_iter().filter(|name| !name.is_empty()).cloned());
         self.servers.extend(line::servers(&line.why).map(CompactString::from));
         if line.message == "answered" && (self.cause.is_none() || !line.why.is_empty()) {
             self.cause = Some(cause(host, &line));
         }
-        keep(&mut self.lines, at, host, text);
+        push_bounded(&mut self.lines, timestamp_ms, host, text);
     }
 
-    /// The second reading: takes a line of `host` if it is about a server that the request met, or about a host
-    /// on its way, at about its time.
-    pub fn take_around(&mut self, host: &str, text: &str) {
-        let Some(line) = line::Line::read(text).filter(|line| line.request.is_empty()) else {
+    /// Second pass: adds a line from `host`'s log if it is about a server of the request or about a host that
+    /// handled it, and was written at about that time.
+    pub fn add_context_line(&mut self, host: &str, text: &str) {
+        let Some(line) = line::Line::parse(text).filter(|line| line.request.is_empty()) else {
             return;
         };
-        let is_of_server = self.servers.contains(&line.server);
-        let is_of_host = self.hosts.contains(host) && OF_HOSTS.contains(&line.message.as_str());
-        let at = line.at().unwrap_or_default();
-        let is_near = at + AROUND >= self.begin && at <= self.end + AROUND;
-        if is_near && (is_of_server || is_of_host) {
-            keep(&mut self.around, at, host, text);
+        let is_about_server = self.servers.contains(&line.server);
+        let is_about_host = self.hosts.contains(host) && HOST_MESSAGES.contains(&line.message.as_str());
+        let timestamp_ms = line.timestamp_ms().unwrap_or_default();
+        let is_near = timestamp_ms + CONTEXT_MS >= self.begin && timestamp_ms <= self.end + CONTEXT_MS;
+        if is_near && (is_about_server || is_about_host) {
+            push_bounded(&mut self.context, timestamp_ms, host, text);
         }
     }
 
-    /// Whether any line is about the request.
+    /// Whether any line about the request has been added.
     pub fn is_found(&self) -> bool {
         !self.lines.is_empty()
     }
 }
 
-fn keep(lines: &mut Vec<Kept>, at: u64, host: &str, text: &str) {
-    if lines.len() < LINES_MOST {
+fn push_bounded(lines: &mut Vec<Record>, timestamp_ms: u64, host: &str, text: &str) {
+    if lines.len() < MAX_LINES {
         let text = text.trim_end().to_owned();
-        lines.push(Kept { at, host: CompactString::from(host), text });
+        lines.push(Record { timestamp_ms, host: CompactString::from(host), text });
     }
 }
 
-/// What decided the request, in a sentence.
+/// Describes the request's outcome and what decided it, in one line.
 fn cause(host: &str, line: &line::Line) -> String {
     let mut text = format!("{host}: {} ({}) after {} ms", line.outcome, line.code, line.took_ms);
     if let Some(late) = line.late_ms {
@@ -126,16 +126,16 @@
 impl fmt::Display for Trace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.cause.as_deref().unwrap_or("no host has answered it in these logs"))?;
-        for (title, lines) in [("its lines", &self.lines), ("at that time", &self.around)] {
+        for (title, lines) in [("its lines", &self.lines), ("at that time", &self.context)] {
             if lines.is_empty() {
                 continue;
             }
             writeln!(f, "\n{title}, in ms from its arrival")?;
             let mut lines = lines.clone();
-            lines.sort_by_key(|line| line.at);
+            lines.sort_by_key(|line| line.timestamp_ms);
             for line in lines {
-                let since = line.at as i64 - self.begin as i64;
-                writeln!(f, "{since:>7}  {}  {}", line.host, line.text)?;
+                let since_arrival = line.timestamp_ms as i64 - self.begin as i64;
+                writeln!(f, "{since_arrival:>7}  {}  {}", line.host, line.text)?;
             }
         }
         Ok(())
