--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -277,7 +277,13 @@
 }
 
 /// Logs an answer and updates the metrics.
-fn record_answer(shell: &Shell, request: &str, from: Option<&str>, answer: &protocol::Answer, started: std_time::Instant) {
+fn record_answer(
+    shell: &Shell,
+    request: &str,
+    from: Option<&str>,
+    answer: &protocol::Answer,
+    started: std_time::Instant,
+) {
     let core = &answer.core;
     let shards = core.contributed.len() + core.missing.len();
     // The caller chooses the name of an unknown class; as label values, such names would be unbounded.
