--- a/crates/core/src/control/event.rs
+++ b/crates/core/src/control/event.rs
@@ -103,9 +103,9 @@
     Send {
         /// Peer address of the host, `IP:PORT`.
         to: CompactString,
-        /// Whether the host is known to accept packed messages.
+        /// Whether the host is known to accept compressed messages.
         packs: bool,
-        /// The message, unpacked.
+        /// The message, uncompressed.
         message: message::Message,
     },
     /// Close the connection, if any, to a host that did not reply; the next message opens a new one. A connection
--- a/crates/core/src/control/gossip.rs
+++ b/crates/core/src/control/gossip.rs
@@ -51,7 +51,7 @@
         sent: Option<clock::Millis>,
         echo: Option<clock::Millis>,
     ) -> message::Body {
-        let members = self.named_members(recipient);
+        let members = self.digest_members(recipient);
         let bucket_count = match recipient {
             member::Recipient::Unknown => self.members.bucket_count(),
             member::Recipient::Known { differing, .. } => differing.len(),
@@ -62,9 +62,9 @@
             members_digest: self.members_digest(bucket_count),
             suspects: self.suspects.table.digest(),
             is_settled: self.standing == Standing::Settled,
-            is_away: self.registry.held.is_unreachable(),
+            is_away: self.registry.held.is_registry_unreachable(),
             complete_to: self.complete_to,
-            stamps: [self.shelves[0].stamp, self.shelves[1].stamp],
+            stamps: [self.replicas[0].stamp, self.replicas[1].stamp],
             ages: [self.age(catalog::Kind::Config), self.age(catalog::Kind::Hosts)],
             sent,
             echo,
@@ -72,16 +72,16 @@
     }
 
     /// The members to include in a digest to `recipient`, and this host.
-    fn named_members(&mut self, recipient: &member::Recipient<'_>) -> Vec<message::Member> {
+    fn digest_members(&mut self, recipient: &member::Recipient<'_>) -> Vec<message::Member> {
         if matches!(self.reader.source, Source::Documents) {
             return Vec::new();
         }
         let mut members = self.members.select_for(self.now, recipient, &mut self.random);
-        members.push(self.this_member());
+        members.push(self.local_member());
         members
     }
 
-    fn this_member(&self) -> message::Member {
+    fn local_member(&self) -> message::Member {
         message::Member {
             peer: self.identity.peer.clone(),
             name: self.identity.name.clone(),
@@ -99,8 +99,8 @@
         if matches!(self.reader.source, Source::Documents) {
             return Vec::new();
         }
-        let this = self.this_member();
-        self.members.digests(bucket_count, &this)
+        let local = self.local_member();
+        self.members.digests(bucket_count, &local)
     }
 
     fn merge_members(&mut self, from: &CompactString, members: &[message::Member]) {
@@ -109,11 +109,11 @@
             // host's replies would not arrive.
             self.outputs.push(Output::Reconnect { to: from.clone() });
         }
-        let is_back = self.members.mark_alive(self.now, from) != member::Change::None;
-        if is_back {
+        let has_recovered = self.members.mark_alive(self.now, from) != member::Change::None;
+        if has_recovered {
             self.outputs.push(Output::Note(note::Note::Replied { peer: from.clone() }));
         }
-        let mut has_changed = is_back;
+        let mut has_changed = has_recovered;
         let mut joined = Vec::new();
         for member in members {
             if member.peer == self.identity.peer {
@@ -331,10 +331,10 @@
         }
         match message.body {
             message::Body::Digest(digest) => self.on_digest(message.from, &digest),
-            message::Body::Ask(ask) => self.on_ask(message.from, &ask),
+            message::Body::Ask(request) => self.on_catalog_request(message.from, &request),
             message::Body::Catalog(update) => self.on_update(message.from, update),
-            message::Body::Suspects(rows) => self.on_suspects(&rows),
-            message::Body::AskTrial(trial) => self.on_ask_trial(message.from, *trial),
+            message::Body::Suspects(records) => self.on_suspects(&records),
+            message::Body::AskTrial(trial) => self.on_trial_request(message.from, *trial),
             message::Body::GrantTrial(trial) => self.on_grant_trial(*trial),
         }
     }
@@ -342,7 +342,7 @@
     fn on_digest(&mut self, from: CompactString, digest: &message::Digest) {
         if matches!(self.reader.source, Source::Registry { .. }) {
             self.merge_members(&from, &digest.members);
-            if self.members.set_away(&from, digest.is_away) {
+            if self.members.set_registry_unreachable(&from, digest.is_away) {
                 self.refresh_peers();
             }
             if digest.is_settled && self.members.count() >= digest.known as usize {
@@ -357,7 +357,7 @@
             self.members.set_differing(digest.members_digest != own_digests);
         }
         self.on_bootstrap_digest(&from, digest);
-        self.record_claim(digest);
+        self.record_peer_completeness(digest);
         for kind in catalog::Kind::ALL {
             if self.should_request(kind, digest.stamps[kind.index()], &from) {
                 self.request(from.clone(), kind);
@@ -385,12 +385,12 @@
             let Some(age) = digest.ages[kind.index()] else {
                 continue;
             };
-            let shelf = &mut self.shelves[kind.index()];
-            if digest.stamps[kind.index()] != shelf.stamp {
+            let replica = &mut self.replicas[kind.index()];
+            if digest.stamps[kind.index()] != replica.stamp {
                 continue;
             }
             let fresh_at = echo - age;
-            shelf.confirmed_at = Some(shelf.confirmed_at.map_or(fresh_at, |held| held.max(fresh_at)));
+            replica.confirmed_at = Some(replica.confirmed_at.map_or(fresh_at, |held| held.max(fresh_at)));
         }
         self.confirm(digest, echo);
     }
@@ -402,7 +402,7 @@
             return;
         };
         let is_newer =
-            catalog::Kind::ALL.iter().any(|kind| digest.stamps[kind.index()] > self.shelves[kind.index()].stamp);
+            catalog::Kind::ALL.iter().any(|kind| digest.stamps[kind.index()] > self.replicas[kind.index()].stamp);
         let is_recent = digest.ages.iter().all(|age| age.is_some_and(|age| age <= self.policy.stale));
         if echo < requested_at || is_newer || !is_recent {
             return;
--- a/crates/core/src/control/hold.rs
+++ b/crates/core/src/control/hold.rs
@@ -37,14 +37,14 @@
 pub(super) struct Held {
     entries: IndexMap<CompactString, Entry>,
     /// Whether the last call to the registry failed.
-    is_unreachable: bool,
+    is_registry_unreachable: bool,
     returned_at: Option<clock::Millis>,
 }
 
 impl Held {
     /// Called when the registry answered.
     pub(super) fn on_response(&mut self, now: clock::Millis) {
-        if std::mem::take(&mut self.is_unreachable) {
+        if std::mem::take(&mut self.is_registry_unreachable) {
             self.returned_at = Some(now);
         }
     }
@@ -56,17 +56,17 @@
 
     /// Called when the registry did not answer. Returns `true` if it was reachable before.
     pub(super) fn on_failure(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_unreachable, true)
+        !std::mem::replace(&mut self.is_registry_unreachable, true)
     }
 
     /// Called when this host stops polling, after which it cannot know whether the registry is reachable.
     pub(super) fn on_polling_stopped(&mut self) {
-        self.is_unreachable = false;
+        self.is_registry_unreachable = false;
     }
 
-    /// Whether the registry does not answer this host.
-    pub(super) fn is_unreachable(&self) -> bool {
-        self.is_unreachable
+    /// Whether the last call of this host to the registry failed.
+    pub(super) fn is_registry_unreachable(&self) -> bool {
+        self.is_registry_unreachable
     }
 
     /// Holds `leaf`, which is missing from the list, and returns the expiry time. `serve_on` is how long removed
@@ -119,7 +119,7 @@
     }
 
     /// The held servers, as they were last listed.
-    pub(super) fn leafs(&self) -> Vec<plan::Leaf> {
+    pub(super) fn leaves(&self) -> Vec<plan::Leaf> {
         self.entries.values().map(|entry| entry.leaf.clone()).collect()
     }
 }
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -22,16 +22,16 @@
 use super::message;
 
 /// Maximum number of members in a digest besides the sender; those sent least often since their last change go first.
-const MAX_NAMED: usize = 8;
+const MAX_MEMBERS: usize = 8;
 /// Time for which a state change is included in digests to hosts whose knowledge is unknown. A change reaches about
 /// a thousand hosts in about ten rounds of digests, which are a second apart. A host that missed it gets it in the
 /// reply to one of its own digests.
 const CHANGE_GOSSIP_TIME: clock::Millis = clock::Millis(10_000);
-/// [`MAX_NAMED`] for a recipient that knows fewer members than this host.
-const MAX_NAMED_TO_LAGGING: usize = 32;
-/// [`MAX_NAMED`] for a recipient that knows less than [`KNOWN_FRACTION`] of the members. When a large fleet starts
+/// [`MAX_MEMBERS`] for a recipient that knows fewer members than this host.
+const MAX_MEMBERS_TO_LAGGING: usize = 32;
+/// [`MAX_MEMBERS`] for a recipient that knows less than [`KNOWN_FRACTION`] of the members. When a large fleet starts
 /// at once, each seed gets hundreds of digests together, and its replies must fit the bandwidth of its link.
-const MAX_NAMED_TO_NEW: usize = 64;
+const MAX_MEMBERS_TO_NEW: usize = 64;
 /// Average number of digests per round that all hosts of a large data centre together send to other data centres.
 /// At this rate changes leave a data centre within a fraction of a second, and the traffic between data centres does
 /// not grow with the number of hosts.
@@ -46,14 +46,14 @@
     member: message::Member,
     /// When this host last learnt of a change of its state.
     changed_at: clock::Millis,
-    /// Number of digests that included it since its last update.
-    times_named: u32,
+    /// Number of digests in which it was sent since its last update.
+    times_sent: u32,
     /// Consecutive probes without a reply.
     unanswered_probes: u8,
     /// When the oldest unanswered probe was sent.
     probed_at: Option<clock::Millis>,
     /// Whether the member reported that the registry is unreachable for it.
-    is_away: bool,
+    is_registry_unreachable: bool,
 }
 
 /// The effect of an update on a member's record.
@@ -143,8 +143,8 @@
         self.records.get(peer).is_some_and(|record| record.member.packs)
     }
 
-    /// The digests of all members and of `this` host, by bucket.
-    pub(super) fn digests(&mut self, bucket_count: usize, this: &message::Member) -> Vec<u32> {
+    /// The digests of all members and of the `local` host, by bucket.
+    pub(super) fn digests(&mut self, bucket_count: usize, local: &message::Member) -> Vec<u32> {
         if bucket_count == 0 {
             return Vec::new();
         }
@@ -159,7 +159,7 @@
         });
         let mut digests = cached.clone();
         self.bucket_digests = Some(cached);
-        digests[bucket(&this.peer, bucket_count)] ^= member_digest(this);
+        digests[bucket(&local.peer, bucket_count)] ^= member_digest(local);
         digests
     }
 
@@ -187,10 +187,10 @@
             let record = Record {
                 member,
                 changed_at: now,
-                times_named: 0,
+                times_sent: 0,
                 unanswered_probes: 0,
                 probed_at: None,
-                is_away: false,
+                is_registry_unreachable: false,
             };
             self.bucket_digests = None;
             self.records.insert(record.member.peer.clone(), record);
@@ -202,7 +202,7 @@
         }
         let is_changed = record.member.state != member.state || record.member.power != member.power;
         record.member = member.clone();
-        record.times_named = 0;
+        record.times_sent = 0;
         self.bucket_digests = None;
         if !is_changed {
             return Change::None;
@@ -233,19 +233,23 @@
         record.member.incarnation += 1;
         self.bucket_digests = None;
         record.changed_at = now;
-        record.times_named = 0;
+        record.times_sent = 0;
         Change::Updated
     }
 
     /// Records whether the registry is unreachable for the member at `peer`. Returns `true` on a change.
-    pub(super) fn set_away(&mut self, peer: &CompactString, is_away: bool) -> bool {
-        self.records.get_mut(peer).is_some_and(|record| std::mem::replace(&mut record.is_away, is_away) != is_away)
+    pub(super) fn set_registry_unreachable(&mut self, peer: &CompactString, is_unreachable: bool) -> bool {
+        self.records.get_mut(peer).is_some_and(|record| {
+            std::mem::replace(&mut record.is_registry_unreachable, is_unreachable) != is_unreachable
+        })
     }
 
-    /// Names of the alive members that cannot reach the registry.
-    pub(super) fn away(&self) -> IndexSet<CompactString> {
-        let records =
-            self.records.values().filter(|record| record.is_away && record.member.state == message::State::Alive);
+    /// Names of the alive members for which the registry is unreachable.
+    pub(super) fn without_registry(&self) -> IndexSet<CompactString> {
+        let records = self
+            .records
+            .values()
+            .filter(|record| record.is_registry_unreachable && record.member.state == message::State::Alive);
         records.map(|record| record.member.name.clone()).collect()
     }
 
@@ -283,7 +287,7 @@
             record.member.state = message::State::Silent;
             self.bucket_digests = None;
             record.changed_at = now;
-            record.times_named = 0;
+            record.times_sent = 0;
             timeouts.silent.push(record.member.name.clone());
         }
         let is_timed_out = |at: &clock::Millis| now.since(*at) >= timeout;
@@ -357,16 +361,16 @@
     ) -> Vec<message::Member> {
         let count = self.count();
         let (limit, near_to, differing) = match *recipient {
-            Recipient::Unknown => (MAX_NAMED, "", &[][..]),
+            Recipient::Unknown => (MAX_MEMBERS, "", &[][..]),
             Recipient::Known { member_count, data_centre, differing }
                 if (member_count as f64) < KNOWN_FRACTION * count as f64 =>
             {
-                (MAX_NAMED_TO_NEW, data_centre, differing)
+                (MAX_MEMBERS_TO_NEW, data_centre, differing)
             }
             Recipient::Known { member_count, differing, .. } if member_count < count => {
-                (MAX_NAMED_TO_LAGGING, "", differing)
+                (MAX_MEMBERS_TO_LAGGING, "", differing)
             }
-            Recipient::Known { differing, .. } => (MAX_NAMED, "", differing),
+            Recipient::Known { differing, .. } => (MAX_MEMBERS, "", differing),
         };
         let mut candidates: Vec<(bool, u32, u32, usize)> = Vec::with_capacity(self.records.len());
         for (index, (peer, record)) in self.records.iter().enumerate() {
@@ -379,7 +383,7 @@
                 continue;
             }
             let is_near = record.member.data_centre == near_to;
-            candidates.push((!is_near, record.times_named, random.random(), index));
+            candidates.push((!is_near, record.times_sent, random.random(), index));
         }
         let limit = limit.min(candidates.len());
         if limit > 0 && limit < candidates.len() {
@@ -390,7 +394,7 @@
             let Some((_, record)) = self.records.get_index_mut(index) else {
                 continue;
             };
-            record.times_named = record.times_named.saturating_add(1);
+            record.times_sent = record.times_sent.saturating_add(1);
             members.push(record.member.clone());
         }
         members
--- a/crates/core/src/control/message.rs
+++ b/crates/core/src/control/message.rs
@@ -35,7 +35,7 @@
     /// A summary of the sender's state.
     Digest(Box<Digest>),
     /// Requests the parts of a catalog that the sender lacks.
-    Ask(Ask),
+    Ask(Request),
     /// A full or incremental catalog update.
     Catalog(Update),
     /// Records of requests that may crash servers.
@@ -52,8 +52,8 @@
     /// The attempt and the fingerprint of its request.
     pub trial: suspect::Trial,
     /// The sender's record of the request.
-    #[serde(default)]
-    pub row: suspect::Record,
+    #[serde(default, rename = "row")]
+    pub record: suspect::Record,
 }
 
 /// A summary of a host's state, with the age of its last confirmation by the platform.
@@ -126,7 +126,7 @@
 
 /// A request for a full or incremental catalog update.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The requested catalog.
     pub kind: catalog::Kind,
     /// Digests of the parts that the sender has; empty if `base` is given.
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -86,7 +86,7 @@
         kind_of: fn(&str) -> Option<catalog::Kind>,
         /// Reduces an item's text, given its key, to the content that is relevant here. Changes to the
         /// rest of the text are not distributed to other hosts.
-        essence: fn(&str, Arc<str>) -> Arc<str>,
+        normalize: fn(&str, Arc<str>) -> Arc<str>,
     },
 }
 
@@ -110,7 +110,7 @@
     reader: Reader,
     now: clock::Millis,
     random: rngs::SmallRng,
-    shelves: [Replica; 2],
+    replicas: [Replica; 2],
     servers: view::Registry,
     view: Option<Arc<view::View>>,
     /// When a view must be compiled because members changed, and when the last one was compiled.
@@ -122,8 +122,8 @@
     ranked: Vec<CompactString>,
     /// Addresses of the watchers, without this host.
     watcher_peers: Vec<CompactString>,
-    /// Whether this host watches because the registry is unreachable from higher-ranked hosts.
-    is_backup_watcher: bool,
+    /// Whether this host watches as a standby because the registry is unreachable for higher-ranked hosts.
+    is_standby_watcher: bool,
     members: member::Members,
     /// When a message from another host was last received.
     last_received_at: clock::Millis,
@@ -147,7 +147,7 @@
     /// catalogs do not change, and lets a host follow the registry without a full read.
     complete_to: u64,
     /// The highest `complete_to` reported by a peer, with the stamps of that peer's catalogs.
-    claim: ([view::Stamp; 2], u64),
+    peer_completeness: ([view::Stamp; 2], u64),
     /// When a traffic core last requested revalidation.
     revalidation_requested_at: Option<clock::Millis>,
     outputs: Vec<Output>,
@@ -165,7 +165,7 @@
             reader,
             now,
             random,
-            shelves: Default::default(),
+            replicas: Default::default(),
             servers: view::Registry::default(),
             view: None,
             compile_at: None,
@@ -173,7 +173,7 @@
             peers: IndexMap::new(),
             ranked: Vec::new(),
             watcher_peers: Vec::new(),
-            is_backup_watcher: false,
+            is_standby_watcher: false,
             members: member::Members::default(),
             last_received_at: now,
             reply_check_at: clock::Millis::MAX,
@@ -193,7 +193,7 @@
             },
             start,
             complete_to: 0,
-            claim: Default::default(),
+            peer_completeness: Default::default(),
             revalidation_requested_at: None,
             outputs: Vec::new(),
             stats: Stats::default(),
@@ -275,12 +275,12 @@
 
     /// The stamp of the catalog in force; its version is 0 if there is none.
     pub fn stamp(&self, kind: catalog::Kind) -> view::Stamp {
-        self.shelves[kind.index()].stamp
+        self.replicas[kind.index()].stamp
     }
 
     /// Time since the catalog was last confirmed to be current; `None` if it never was.
     pub fn age(&self, kind: catalog::Kind) -> Option<clock::Millis> {
-        self.shelves[kind.index()].confirmed_at.map(|at| self.now.since(at))
+        self.replicas[kind.index()].confirmed_at.map(|at| self.now.since(at))
     }
 
     /// Names and states of the members discovered by gossip; empty if documents list the hosts.
@@ -301,14 +301,14 @@
     /// Whether this host watches the platform on behalf of its data centre.
     pub fn is_watcher(&self) -> bool {
         let watchers = self.policy.watchers as usize;
-        self.is_backup_watcher || self.ranked.iter().take(watchers).any(|name| *name == self.identity.name)
+        self.is_standby_watcher || self.ranked.iter().take(watchers).any(|name| *name == self.identity.name)
     }
 
     /// For each server of the selector's service, the reason why it is selected or not; `None` if there is
     /// no such selector.
     pub fn explain(&mut self, selector: &str) -> Option<Vec<(CompactString, plan::Reason)>> {
         let view = Arc::clone(self.view.as_ref()?);
-        let parts: Vec<Arc<plan::Part>> = self.shelves[0].parsed.values().cloned().collect();
+        let parts: Vec<Arc<plan::Part>> = self.replicas[0].parsed.values().cloned().collect();
         let mut found = None;
         for part in &parts {
             let plan::Part::Selectors(selectors) = &**part else {
--- a/crates/core/src/control/platform.rs
+++ b/crates/core/src/control/platform.rs
@@ -31,7 +31,7 @@
 
     fn watch(&mut self, kind: catalog::Kind) {
         let now = self.now;
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         if replica.is_watching || replica.next_watch_at > now || replica.pending.is_some() && replica.next_read_at > now
         {
             return;
@@ -49,7 +49,7 @@
         let start_jitter = self.random.random_range(0..=3 * start_wait.0);
         let read_pause = self.read_pause();
         let pause_jitter = self.random.random_range(0..=read_pause.0);
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let is_new = replica.stamp.version == 0;
         if replica.next_read_at == clock::Millis::ZERO {
             replica.next_read_at = self.started_at + start_wait + clock::Millis(start_jitter);
@@ -86,7 +86,7 @@
     pub(super) fn on_manifest(&mut self, kind: catalog::Kind, is_watch: bool, text: Option<Arc<str>>) {
         let jitter = self.random.random_range(0..=3 * WATCH_RETRY_DELAY.0);
         let now = self.now;
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         if is_watch {
             replica.is_watching = false;
         }
@@ -126,7 +126,7 @@
 
     /// Reads the parts of a newer manifest that this host does not have.
     fn collect(&mut self, kind: catalog::Kind, manifest: catalog::Manifest) {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let missing: Vec<CompactString> =
             replica.current.missing_parts(&manifest).into_iter().map(|(key, _)| key.clone()).collect();
         replica.pending = Some(manifest);
@@ -135,12 +135,12 @@
             self.outputs.push(Output::ReadPart { kind, key });
         }
         if self.try_adopt(kind) {
-            self.shelves[kind.index()].confirmed_at = Some(self.now);
+            self.replicas[kind.index()].confirmed_at = Some(self.now);
         }
     }
 
     pub(super) fn on_part(&mut self, kind: catalog::Kind, key: CompactString, text: Option<Arc<str>>) {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let Some(text) = text else {
             self.stats.platform_failures += 1;
             return;
@@ -152,7 +152,7 @@
         }
         replica.current.texts.insert(digest, text);
         if self.try_adopt(kind) {
-            self.shelves[kind.index()].confirmed_at = Some(self.now);
+            self.replicas[kind.index()].confirmed_at = Some(self.now);
         }
     }
 }
--- a/crates/core/src/control/registry.rs
+++ b/crates/core/src/control/registry.rs
@@ -86,12 +86,12 @@
     /// a watcher then need not read hundreds of entries that it already has.
     fn advance_mirror(&mut self) {
         let is_later = self.complete_to > self.registry.mirror.at().version() && !self.registry.must_list;
-        if !is_later || self.shelves.iter().any(|replica| replica.stamp.version == 0) {
+        if !is_later || self.replicas.iter().any(|replica| replica.stamp.version == 0) {
             return;
         }
-        let changed_at = [self.shelves[0].stamp.version, self.shelves[1].stamp.version];
+        let changed_at = [self.replicas[0].stamp.version, self.replicas[1].stamp.version];
         let mut parts = Vec::new();
-        for replica in &self.shelves {
+        for replica in &self.replicas {
             for (key, digest) in &replica.current.manifest.parts {
                 let Some(text) = replica.current.texts.get(digest) else {
                     return;
@@ -103,26 +103,26 @@
         self.registry.mirror.load(at, changed_at, parts.into_iter());
     }
 
-    /// Records the revision up to which another host's catalogs are complete.
-    pub(super) fn record_claim(&mut self, digest: &message::Digest) {
-        if digest.complete_to > self.claim.1 {
-            self.claim = (digest.stamps, digest.complete_to);
+    /// Records the revision up to which the catalogs of the sender of `digest` are complete.
+    pub(super) fn record_peer_completeness(&mut self, digest: &message::Digest) {
+        if digest.complete_to > self.peer_completeness.1 {
+            self.peer_completeness = (digest.stamps, digest.complete_to);
         }
-        self.apply_claim();
+        self.apply_peer_completeness();
     }
 
-    /// Applies the recorded revision if the catalogs in force are the same as that host's.
-    pub(super) fn apply_claim(&mut self) {
-        if self.claim.0 == [self.shelves[0].stamp, self.shelves[1].stamp] {
-            self.complete_to = self.complete_to.max(self.claim.1);
+    /// Advances `complete_to` to the recorded revision if the catalogs in force are the same as that host's.
+    pub(super) fn apply_peer_completeness(&mut self) {
+        if self.peer_completeness.0 == [self.replicas[0].stamp, self.replicas[1].stamp] {
+            self.complete_to = self.complete_to.max(self.peer_completeness.1);
         }
     }
 
-    /// Chooses how long the next call may wait for changes. A registry that stops responding may accept calls
-    /// that it never answers. Each host must detect that itself, since the hosts that could report it may be partitioned away.
+    /// Chooses how long the next call may wait for changes. A registry that stops responding may accept calls that it
+    /// never answers. Each host must detect that itself, since a partition may separate it from hosts that report it.
     fn choose_wait(&mut self) -> clock::Millis {
         // While the registry is unreachable, a long wait would only delay detecting its return.
-        if !self.is_watcher() || self.registry.held.is_unreachable() {
+        if !self.is_watcher() || self.registry.held.is_registry_unreachable() {
             return clock::Millis::ZERO;
         }
         let max_wait = self.policy.notice - RESPONSE_TIMEOUT;
@@ -155,7 +155,7 @@
         }
         // A joining host follows the registry only if it has read the registry itself.
         let may_watch = self.registry.mirror.at().number > 0 || !self.is_joining();
-        let confirmed_at = self.shelves[catalog::Kind::Hosts.index()].confirmed_at.unwrap_or(self.started_at);
+        let confirmed_at = self.replicas[catalog::Kind::Hosts.index()].confirmed_at.unwrap_or(self.started_at);
         let is_stale = self.now.since(confirmed_at) > self.policy.stale;
         self.is_watcher() && may_watch || self.registry.must_poll || is_stale
     }
@@ -193,7 +193,7 @@
             return;
         };
         let at = self.registry.mirror.at();
-        let versions_in_force = [self.shelves[0].stamp.version, self.shelves[1].stamp.version];
+        let versions_in_force = [self.replicas[0].stamp.version, self.replicas[1].stamp.version];
         match self.registry.mirror.add_page(page, schema, versions_in_force) {
             mirror::ReadProgress::Next { after } => self.outputs.push(Output::List { after: Some(after) }),
             mirror::ReadProgress::EraChanged => {
@@ -259,9 +259,9 @@
     }
 
     fn on_registry_response(&mut self) {
-        let was_away = self.registry.held.is_unreachable();
+        let was_unreachable = self.registry.held.is_registry_unreachable();
         self.registry.held.on_response(self.now);
-        if was_away {
+        if was_unreachable {
             self.must_announce = true;
             let at = self.registry.mirror.at();
             self.outputs.push(Output::Note(note::Note::RegistryRecovered { at }));
@@ -272,7 +272,7 @@
         self.stats.platform_failures += 1;
         self.registry.call = Call::None;
         let jitter = self.random.random_range(0..=RETRY_PAUSE.0);
-        let pause = (RETRY_PAUSE + clock::Millis(jitter)).scale(if self.is_backup_watcher {
+        let pause = (RETRY_PAUSE + clock::Millis(jitter)).scale(if self.is_standby_watcher {
             STANDBY_RETRY_FACTOR
         } else {
             1.0
@@ -288,21 +288,21 @@
     /// Builds catalogs from the copy and adopts those that changed.
     fn rebuild_catalogs(&mut self) {
         for kind in catalog::Kind::ALL {
-            let is_new = self.registry.mirror.changed_at(kind) > self.shelves[kind.index()].stamp.version;
+            let is_new = self.registry.mirror.changed_at(kind) > self.replicas[kind.index()].stamp.version;
             if is_new {
                 self.rebuild_catalog(kind);
             }
-            self.shelves[kind.index()].confirmed_at = Some(self.now);
+            self.replicas[kind.index()].confirmed_at = Some(self.now);
         }
         // A refused document is in the copy but not in force.
-        if self.shelves.iter().all(|replica| replica.refused.is_none_or(|refused| refused <= replica.stamp)) {
+        if self.replicas.iter().all(|replica| replica.refused.is_none_or(|refused| refused <= replica.stamp)) {
             self.complete_to = self.complete_to.max(self.registry.mirror.at().version());
         }
     }
 
     fn schema(&self) -> Option<mirror::Schema> {
         match self.reader.source {
-            super::Source::Registry { kind_of, essence } => Some(mirror::Schema { kind_of, normalize: essence }),
+            super::Source::Registry { kind_of, normalize } => Some(mirror::Schema { kind_of, normalize }),
             super::Source::Documents => None,
         }
     }
@@ -322,7 +322,7 @@
             manifest.parts.insert(key.clone(), *digest);
         }
         let view::Stamp { version, digest, .. } = manifest.stamp();
-        let outdated = self.shelves[kind.index()].outdated;
+        let outdated = self.replicas[kind.index()].outdated;
         if outdated.is_some_and(|stamp| (stamp.version, stamp.digest) == (version, digest)) {
             return;
         }
@@ -330,7 +330,7 @@
             manifest.number = manifest.number.max(self.document_number(kind, key, *digest, text));
         }
         let stamp = manifest.stamp();
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         if replica.refused == Some(stamp) || replica.adopt_version(stamp) {
             return;
         }
@@ -347,13 +347,13 @@
         }
     }
 
-    /// The number that operators assigned to the document `key`. For a configuration that cannot be parsed, the number in
-    /// force, so that it is refused with its faults and not skipped as outdated.
+    /// The number that operators assigned to the document `key`. For a configuration that cannot be parsed, the number
+    /// in force, so that it is refused with its faults and not skipped as outdated.
     fn document_number(&self, kind: catalog::Kind, key: &CompactString, digest: catalog::Digest, text: &str) -> u64 {
         if kind != catalog::Kind::Config {
             return 0;
         }
-        let replica = &self.shelves[kind.index()];
+        let replica = &self.replicas[kind.index()];
         let number = match replica.part(key, digest) {
             Some(part) => part.number(),
             None => (self.reader.part)(key, text).ok().as_ref().and_then(plan::Part::number),
@@ -364,7 +364,7 @@
     /// Keeps the document in force. A registry that was restored from a backup has an older one until operators write
     /// the later one again.
     fn skip_outdated(&mut self, kind: catalog::Kind, stamp: view::Stamp) {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         replica.outdated = Some(stamp);
         self.stats.platform_stale += 1;
         let in_force = replica.stamp;
@@ -374,7 +374,7 @@
     /// Holds the servers that are missing from a new list, and releases those that are listed again.
     pub(super) fn hold_missing(&mut self, before: &catalog::Manifest, after: &catalog::Manifest) {
         let mut missing: Vec<Arc<plan::Part>> = Vec::new();
-        let replica = &self.shelves[catalog::Kind::Hosts.index()];
+        let replica = &self.replicas[catalog::Kind::Hosts.index()];
         for (key, digest) in &before.parts {
             if !after.parts.contains_key(key) {
                 missing.extend(replica.part(key, *digest).cloned());
@@ -399,10 +399,11 @@
         self.registry.held.extend_if_bulk(after.parts.len(), self.policy.serve_on);
     }
 
-    /// Temporarily keeps removed servers that the restored list `after` names again out of use, and evacuations that it
-    /// lacks in force. A server that is held, or that this process has not seen before, does not count as removed.
+    /// Temporarily overrides the restored list `after`: removed servers that it lists again stay out of use, and
+    /// evacuations that it lacks stay in force. A server that is held, or that this process has not seen before, does
+    /// not count as removed.
     pub(super) fn override_restored(&mut self, before: &catalog::Manifest, after: &catalog::Manifest) {
-        let replica = &self.shelves[catalog::Kind::Hosts.index()];
+        let replica = &self.replicas[catalog::Kind::Hosts.index()];
         let (mut removed, mut evacuated) = (Vec::new(), Vec::new());
         for (key, digest) in after.parts.iter().filter(|(key, _)| !before.parts.contains_key(*key)) {
             if let Some(plan::Part::Leaf(leaf)) = replica.part(key, *digest).map(|part| &**part)
--- a/crates/core/src/control/replica.rs
+++ b/crates/core/src/control/replica.rs
@@ -74,7 +74,7 @@
     /// Puts the pending manifest in force if it is complete and has no faults. Callers have checked that it is
     /// newer. This is the only place where the manifest in force is replaced.
     pub(super) fn try_adopt(&mut self, kind: catalog::Kind) -> bool {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let Some(manifest) = replica.pending.take() else {
             return false;
         };
@@ -84,7 +84,7 @@
         }
         let stamp = manifest.stamp();
         if let Err(faults) = self.validate(kind, &manifest) {
-            self.shelves[kind.index()].retain_parts_in_force();
+            self.replicas[kind.index()].retain_parts_in_force();
             self.refuse(kind, stamp, faults);
             return false;
         }
@@ -99,7 +99,7 @@
         manifest: &catalog::Manifest,
     ) -> Result<(), Vec<plan::Fault>> {
         let reader = self.reader;
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let mut faults = Vec::new();
         for (key, digest) in &manifest.parts {
             if replica.part(key, *digest).is_some() {
@@ -125,7 +125,7 @@
     }
 
     pub(super) fn refuse(&mut self, kind: catalog::Kind, stamp: view::Stamp, faults: Vec<plan::Fault>) {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let is_known = replica.refused == Some(stamp);
         replica.refused = Some(stamp);
         if is_known {
@@ -136,7 +136,7 @@
     }
 
     pub(super) fn put_in_force(&mut self, kind: catalog::Kind, manifest: catalog::Manifest, stamp: view::Stamp) {
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         if stamp < replica.stamp {
             let detail = format!("{kind}: {stamp} after {}", replica.stamp);
             self.outputs.push(Output::Breach(invariant::Breach { name: invariant::Name::ConfigMonotonic, detail }));
@@ -154,7 +154,7 @@
             }
             self.hold_missing(&before, &manifest);
         }
-        let replica = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         replica.history.record(&before, &manifest);
         replica.current.adopt(manifest);
         replica.retain_parts_in_force();
@@ -166,7 +166,7 @@
             replica.newer = None;
         }
         self.stats.adopted += 1;
-        self.apply_claim();
+        self.apply_peer_completeness();
         self.compile();
         // The first catalog of a starting host is not pushed: other hosts have it already, or request it.
         let is_initial = old_stamp.version == 0 && self.is_joining();
--- a/crates/core/src/control/restored.rs
+++ b/crates/core/src/control/restored.rs
@@ -1,6 +1,6 @@
 //! Temporary overrides for the outdated contents of a registry that was restored from a backup.
 //!
-//! Until entries lapse or operators write again, a restored registry lists servers that had been removed and lacks
+//! Until entries expire or operators write again, a restored registry lists servers that had been removed and lacks
 //! evacuations that were in force. Removed servers may still answer, but must not receive requests. So for a limited
 //! time, a listed server that had been removed gets no requests, and an evacuation that is missing stays in force.
 //!
@@ -12,7 +12,7 @@
 
 use crate::clock;
 
-/// How long overrides last. Allows entries of removed servers to lapse, and servers and operators to write again.
+/// How long overrides last. Entries of removed servers expire in this time, and servers and operators write again.
 const GRACE_PERIOD: clock::Millis = clock::Millis(4000);
 
 /// The overrides in force; see the module.
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -31,35 +31,35 @@
     ) -> bool {
         let is_registry = matches!(self.reader.source, Source::Registry { .. });
         let is_near = self.is_near(from);
-        let shelf = &mut self.shelves[kind.index()];
-        if peer_stamp <= shelf.stamp || shelf.refused == Some(peer_stamp) {
+        let replica = &mut self.replicas[kind.index()];
+        if peer_stamp <= replica.stamp || replica.refused == Some(peer_stamp) {
             return false;
         }
         if !is_registry {
             return true;
         }
-        if shelf.adopt_version(peer_stamp) {
+        if replica.adopt_version(peer_stamp) {
             return false;
         }
-        if shelf.stamp.version == 0 {
+        if replica.stamp.version == 0 {
             return false;
         }
-        let since = shelf.newer.as_ref().map_or(self.now, |newer| newer.since);
+        let since = replica.newer.as_ref().map_or(self.now, |newer| newer.since);
         // A nearby host is preferred to one with a higher stamp; what it lacks is requested later.
-        let has_nearer = shelf.newer.as_ref().is_some_and(|newer| newer.is_near && !is_near);
+        let has_nearer = replica.newer.as_ref().is_some_and(|newer| newer.is_near && !is_near);
         if !has_nearer {
-            shelf.newer = Some(Announcement { stamp: peer_stamp, from: from.clone(), is_near, since });
+            replica.newer = Some(Announcement { stamp: peer_stamp, from: from.clone(), is_near, since });
         }
         false
     }
 
     /// Requests the announced catalogs that did not arrive in time.
     pub(super) fn request_overdue(&mut self) {
-        let is_importer = self.is_fetcher();
+        let is_fetcher = self.is_fetcher();
         for kind in catalog::Kind::ALL {
-            let shelf = &mut self.shelves[kind.index()];
-            let is_overdue = shelf.newer.as_ref().is_some_and(|newer| newer.due(is_importer) <= self.now);
-            let Some(newer) = shelf.newer.take_if(|_| is_overdue) else {
+            let replica = &mut self.replicas[kind.index()];
+            let is_overdue = replica.newer.as_ref().is_some_and(|newer| newer.due(is_fetcher) <= self.now);
+            let Some(newer) = replica.newer.take_if(|_| is_overdue) else {
                 continue;
             };
             self.request(newer.from, kind);
@@ -69,8 +69,9 @@
 
     /// When [`Core::request_overdue`] or [`Core::announce`] must run next.
     pub(super) fn spread_timer(&self) -> clock::Millis {
-        let is_importer = self.is_fetcher();
-        let overdue = self.shelves.iter().filter_map(|shelf| shelf.newer.as_ref()).map(|newer| newer.due(is_importer));
+        let is_fetcher = self.is_fetcher();
+        let overdue =
+            self.replicas.iter().filter_map(|replica| replica.newer.as_ref()).map(|newer| newer.due(is_fetcher));
         let announce = if self.must_announce { self.announce_at } else { clock::Millis::MAX };
         overdue.min().unwrap_or(clock::Millis::MAX).min(announce)
     }
@@ -83,7 +84,8 @@
         self.must_announce = false;
         self.announce_at = self.now + MIN_ANNOUNCE_INTERVAL;
         // While the registry is unreachable for some hosts, watchers need announcements as well.
-        let is_registry_partitioned = self.registry.held.is_unreachable() || !self.members.away().is_empty();
+        let is_registry_partitioned =
+            self.registry.held.is_registry_unreachable() || !self.members.without_registry().is_empty();
         let mut others = Vec::new();
         for (address, host) in &self.peers {
             let is_live = host.state == crate::plan::State::Live;
@@ -103,10 +105,10 @@
     /// Sends a host the stamps of this one in a digest without members.
     pub(super) fn send_stamps(&mut self, to: CompactString) {
         let body = message::Body::Digest(Box::new(message::Digest {
-            stamps: [self.shelves[0].stamp, self.shelves[1].stamp],
+            stamps: [self.replicas[0].stamp, self.replicas[1].stamp],
             ages: [self.age(catalog::Kind::Config), self.age(catalog::Kind::Hosts)],
             known: self.members.count() as u32,
-            is_away: self.registry.held.is_unreachable(),
+            is_away: self.registry.held.is_registry_unreachable(),
             complete_to: self.complete_to,
             suspects: self.suspects.table.digest(),
             ..message::Digest::default()
@@ -116,42 +118,42 @@
 
     /// Requests the changes since this host's catalog, or the whole catalog if there is none.
     pub(super) fn request(&mut self, to: CompactString, kind: catalog::Kind) {
-        let stamp = self.shelves[kind.index()].stamp;
+        let stamp = self.replicas[kind.index()].stamp;
         let is_registry = matches!(self.reader.source, Source::Registry { .. });
         if !is_registry || stamp.version == 0 {
             self.request_whole(to, kind);
             return;
         }
-        self.send(to, message::Body::Ask(message::Ask { kind, have: Vec::new(), base: Some(stamp) }));
+        self.send(to, message::Body::Ask(message::Request { kind, have: Vec::new(), base: Some(stamp) }));
     }
 
     /// Requests a whole catalog, without the texts that this host has.
     fn request_whole(&mut self, to: CompactString, kind: catalog::Kind) {
-        let have = self.shelves[kind.index()].current.texts.keys().copied().collect();
-        self.send(to, message::Body::Ask(message::Ask { kind, have, base: None }));
+        let have = self.replicas[kind.index()].current.texts.keys().copied().collect();
+        self.send(to, message::Body::Ask(message::Request { kind, have, base: None }));
     }
 
-    pub(super) fn on_ask(&mut self, from: CompactString, ask: &message::Ask) {
-        let shelf = &self.shelves[ask.kind.index()];
-        if shelf.current.manifest.parts.is_empty() {
+    pub(super) fn on_catalog_request(&mut self, from: CompactString, request: &message::Request) {
+        let replica = &self.replicas[request.kind.index()];
+        if replica.current.manifest.parts.is_empty() {
             return;
         }
-        let update = ask.base.and_then(|base| shelf.update_since(ask.kind, base));
-        let update = update.unwrap_or_else(|| shelf.full_update(ask));
+        let update = request.base.and_then(|base| replica.update_since(request.kind, base));
+        let update = update.unwrap_or_else(|| replica.full_update(request));
         self.send(from, message::Body::Catalog(update));
     }
 
     pub(super) fn on_update(&mut self, from: CompactString, update: message::Update) {
         let kind = update.kind;
-        let shelf = &mut self.shelves[kind.index()];
+        let replica = &mut self.replicas[kind.index()];
         let peer_stamp = update.stamp();
-        let is_older = (peer_stamp.number, peer_stamp.version) < (shelf.stamp.number, shelf.stamp.version);
+        let is_older = (peer_stamp.number, peer_stamp.version) < (replica.stamp.number, replica.stamp.version);
         if is_older && !mutant::is(mutant::Mutant::AcceptOlder) {
             return;
         }
         let mut manifest = match update.base {
             None => catalog::Manifest::default(),
-            Some(base) if is_applicable(base, &update, shelf.stamp) => shelf.current.manifest.clone(),
+            Some(base) if is_applicable(base, &update, replica.stamp) => replica.current.manifest.clone(),
             Some(_) => {
                 if self.should_request(kind, peer_stamp, &from) {
                     self.request(from, kind);
@@ -178,24 +180,24 @@
         let is_mismatch = update.digest != 0 && update.digest != stamp.digest;
         if is_mismatch {
             // The result differs from the sender's catalog. Adopted under its version, it would not be corrected later.
-            if peer_stamp > shelf.stamp && shelf.refused != Some(peer_stamp) {
+            if peer_stamp > replica.stamp && replica.refused != Some(peer_stamp) {
                 self.request_whole(from, kind);
             }
             return;
         }
-        let is_older = stamp <= shelf.stamp && !mutant::is(mutant::Mutant::AcceptOlder);
-        if is_older || shelf.refused == Some(stamp) {
+        let is_older = stamp <= replica.stamp && !mutant::is(mutant::Mutant::AcceptOlder);
+        if is_older || replica.refused == Some(stamp) {
             return;
         }
-        if shelf.adopt_version(stamp) {
+        if replica.adopt_version(stamp) {
             return;
         }
-        shelf.current.texts.extend(texts);
-        if !shelf.current.missing_parts(&manifest).is_empty() {
+        replica.current.texts.extend(texts);
+        if !replica.current.missing_parts(&manifest).is_empty() {
             self.request_whole(from, kind);
             return;
         }
-        shelf.pending = Some(manifest);
+        replica.pending = Some(manifest);
         if self.try_adopt(kind) {
             self.outputs.push(Output::Note(note::Note::FromPeer { from, stamp }));
         }
@@ -204,8 +206,8 @@
     /// Pushes the changes to this host's children in the tree of its data centre and, from the root, to the
     /// roots of the other data centres if documents are the source.
     pub(super) fn push(&mut self, kind: catalog::Kind, before: &catalog::Manifest, base: view::Stamp) {
-        let shelf = &self.shelves[kind.index()];
-        let update = difference(kind, before, base, &shelf.current);
+        let replica = &self.replicas[kind.index()];
+        let update = difference(kind, before, base, &replica.current);
         for to in self.children() {
             self.send(to, message::Body::Catalog(update.clone()));
         }
@@ -237,19 +239,20 @@
 
     /// The highest-ranked live host of each other data centre.
     fn other_roots(&self) -> Vec<CompactString> {
-        let mut centres: Vec<&CompactString> = self.peers.values().map(|host| &host.data_centre).collect();
-        centres.sort_unstable();
-        centres.dedup();
+        let mut data_centres: Vec<&CompactString> = self.peers.values().map(|host| &host.data_centre).collect();
+        data_centres.sort_unstable();
+        data_centres.dedup();
         let mut roots = Vec::new();
-        for centre in centres {
-            if *centre == self.identity.data_centre {
+        for data_centre in data_centres {
+            if *data_centre == self.identity.data_centre {
                 continue;
             }
-            let is_candidate =
-                |host: &&crate::plan::EntryHost| host.data_centre == *centre && host.state == crate::plan::State::Live;
+            let is_candidate = |host: &&crate::plan::EntryHost| {
+                host.data_centre == *data_centre && host.state == crate::plan::State::Live
+            };
             let mut names: Vec<CompactString> =
                 self.peers.values().filter(is_candidate).map(|host| host.name.clone()).collect();
-            rendezvous::rank(centre, &mut names);
+            rendezvous::rank(data_centre, &mut names);
             roots.extend(names.into_iter().next());
         }
         roots
@@ -257,24 +260,24 @@
 }
 
 impl Announcement {
-    /// When to request the catalog. Hosts that do not import catalogs into their data centre wait longer for
-    /// a remote one, so that an importer can get it first and announce it nearby.
-    fn due(&self, is_importer: bool) -> clock::Millis {
-        let is_direct = self.is_near || is_importer;
+    /// When to request the catalog. Hosts that are not fetchers of their data centre wait longer for a remote one,
+    /// so that a fetcher can get it first and announce it nearby.
+    fn due(&self, is_fetcher: bool) -> clock::Millis {
+        let is_direct = self.is_near || is_fetcher;
         self.since + if is_direct { PUSH_TIMEOUT } else { PUSH_TIMEOUT + PUSH_TIMEOUT }
     }
 }
 
 impl Replica {
     /// The whole catalog, with only the texts that the requester lacks.
-    fn full_update(&self, ask: &message::Ask) -> message::Update {
+    fn full_update(&self, request: &message::Request) -> message::Update {
         let mut parts = Vec::with_capacity(self.current.manifest.parts.len());
         for (key, digest) in &self.current.manifest.parts {
-            let text = if ask.have.contains(digest) { None } else { self.current.texts.get(digest).cloned() };
+            let text = if request.have.contains(digest) { None } else { self.current.texts.get(digest).cloned() };
             parts.push(message::Part { key: key.clone(), digest: *digest, text });
         }
         let view::Stamp { number, version, digest } = self.stamp;
-        message::Update { kind: ask.kind, base: None, number, version, digest, removed: Vec::new(), parts }
+        message::Update { kind: request.kind, base: None, number, version, digest, removed: Vec::new(), parts }
     }
 
     /// The changes since `base`; `None` if the history does not reach back to it.
--- a/crates/core/src/control/start.rs
+++ b/crates/core/src/control/start.rs
@@ -1,11 +1,11 @@
 //! How a starting host gets its first catalogs.
 //!
-//! When a large fleet starts all at once, it must not read the registry hundreds of times, nor transfer the same catalogs
-//! between data centres hundreds of times. So the seeds in the settings read the registry, the first hosts of each
-//! data centre by rank (the fetchers) fetch the catalogs from other data centres, and the remaining hosts fetch them
-//! within their data centre. A host ranks only the hosts that it has discovered; if these are few, it may act as a fetcher too early,
-//! which costs one extra transfer. No host depends on a single other one: a host that waits too long requests the
-//! catalogs from another data centre, and finally reads the registry.
+//! When a large fleet starts all at once, it must not read the registry hundreds of times, nor transfer the same
+//! catalogs between data centres hundreds of times. So the seeds in the settings read the registry, the first hosts of
+//! each data centre by rank (the fetchers) fetch the catalogs from other data centres, and the remaining hosts fetch
+//! them within their data centre. A host ranks only the hosts that it has discovered; if these are few, it may act as a
+//! fetcher too early, which costs one extra transfer. No host depends on a single other one: a host that waits too long
+//! requests the catalogs from another data centre, and finally reads the registry.
 
 use compact_str::CompactString;
 use rand::{Rng, rngs};
@@ -65,12 +65,12 @@
 impl Core {
     /// Whether this host lacks a catalog, which no host may have yet.
     pub(super) fn lacks_catalog(&self) -> bool {
-        self.shelves.iter().any(|replica| replica.stamp.version == 0)
+        self.replicas.iter().any(|replica| replica.stamp.version == 0)
     }
 
     /// Whether this host has no catalog at all.
     pub(super) fn is_starting(&self) -> bool {
-        self.shelves.iter().all(|replica| replica.stamp.version == 0)
+        self.replicas.iter().all(|replica| replica.stamp.version == 0)
     }
 
     /// Handles a digest from `from` on a host that lacks catalogs.
@@ -103,7 +103,7 @@
     /// Requests the catalogs that this host lacks, except those with a recent request in flight.
     fn request_missing(&mut self, from: &CompactString, stamps: [view::Stamp; 2]) {
         for kind in catalog::Kind::ALL {
-            let is_lacking = self.shelves[kind.index()].stamp.version == 0 && stamps[kind.index()].version > 0;
+            let is_lacking = self.replicas[kind.index()].stamp.version == 0 && stamps[kind.index()].version > 0;
             let requested_at = &mut self.start.requested_at[kind.index()];
             let is_requested = requested_at.is_some_and(|at| self.now.since(at) < REQUEST_TIMEOUT);
             if !is_lacking || is_requested {
--- a/crates/core/src/control/suspects.rs
+++ b/crates/core/src/control/suspects.rs
@@ -19,13 +19,13 @@
 
 /// Number of hosts to which an update is sent. With this fan-out it reaches all but one in a million in five hops.
 const FANOUT: usize = 6;
-/// Maximum number of rows in an update.
-const MAX_UPDATE_ROWS: usize = 16;
-/// Maximum number of rows in a message to a host whose digest differs.
-const MAX_SYNC_ROWS: usize = 64;
+/// Maximum number of records in an update.
+const MAX_UPDATE_RECORDS: usize = 16;
+/// Maximum number of records in a message to a host whose digest differs.
+const MAX_SYNC_RECORDS: usize = 64;
 /// Minimum interval between updates if they contain held requests.
 const MIN_HELD_INTERVAL: clock::Millis = clock::Millis(50);
-/// Minimum interval between updates with suspected requests alone.
+/// Minimum interval between updates that contain only suspected requests.
 const MIN_SUSPECT_INTERVAL: clock::Millis = clock::Millis(100);
 
 /// Requests that may crash servers, and the state of their distribution.
@@ -36,7 +36,7 @@
     published: Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>,
     /// When the last update was sent; zero if none was.
     sent_at: clock::Millis,
-    /// When the next row expires.
+    /// When the next record expires.
     expires_at: Option<clock::Millis>,
 }
 
@@ -63,10 +63,10 @@
         }
     }
 
-    pub(super) fn on_suspects(&mut self, rows: &[suspect::Record]) {
+    pub(super) fn on_suspects(&mut self, records: &[suspect::Record]) {
         let mut is_new = false;
-        for row in rows {
-            is_new |= self.suspects.table.merge(self.now, row);
+        for record in records {
+            is_new |= self.suspects.table.merge(self.now, record);
         }
         if is_new {
             self.publish_suspects();
@@ -81,8 +81,8 @@
             }
             return;
         };
-        let row = self.suspects.table.record(self.now, trial.fingerprint);
-        self.send(to, message::Body::AskTrial(Box::new(message::Trial { trial, row })));
+        let record = self.suspects.table.record(self.now, trial.fingerprint);
+        self.send(to, message::Body::AskTrial(Box::new(message::Trial { trial, record })));
     }
 
     /// The address of the host that grants trials of a request; `None` if it is this host.
@@ -95,20 +95,20 @@
     }
 
     /// Replies to another host's request for a trial.
-    pub(super) fn on_ask_trial(&mut self, from: CompactString, request: message::Trial) {
-        self.on_suspects(std::slice::from_ref(&request.row));
+    pub(super) fn on_trial_request(&mut self, from: CompactString, request: message::Trial) {
+        self.on_suspects(std::slice::from_ref(&request.record));
         // A host with an incomplete member list may have sent the request to the wrong grantor.
         let is_granted = self.grantor(request.trial.fingerprint).is_none() && self.grant(request.trial);
-        let row = self.suspects.table.record(self.now, request.trial.fingerprint);
+        let record = self.suspects.table.record(self.now, request.trial.fingerprint);
         let body = match is_granted {
-            true => message::Body::GrantTrial(Box::new(message::Trial { row, ..request })),
-            false => message::Body::Suspects(vec![row]),
+            true => message::Body::GrantTrial(Box::new(message::Trial { record, ..request })),
+            false => message::Body::Suspects(vec![record]),
         };
         self.send(from, body);
     }
 
     pub(super) fn on_grant_trial(&mut self, grant: message::Trial) {
-        self.on_suspects(std::slice::from_ref(&grant.row));
+        self.on_suspects(std::slice::from_ref(&grant.record));
         self.outputs.push(Output::TrialGranted(grant.trial));
     }
 
@@ -149,7 +149,7 @@
         self.outputs.push(Output::Suspects(standings));
     }
 
-    /// Removes expired rows, and sends an update when one is due.
+    /// Removes expired records, and sends an update when one is due.
     pub(super) fn gossip_suspects(&mut self) {
         if self.suspects.expires_at.is_some_and(|at| at <= self.now) {
             self.suspects.table.expire(self.now);
@@ -179,17 +179,17 @@
         if peers.is_empty() || self.suspects.table.is_empty() {
             return;
         }
-        let rows = self.suspects.table.take_records(self.now, MAX_UPDATE_ROWS);
+        let records = self.suspects.table.take_records(self.now, MAX_UPDATE_RECORDS);
         for to in peers {
-            self.send(to, message::Body::Suspects(rows.clone()));
+            self.send(to, message::Body::Suspects(records.clone()));
         }
     }
 
-    /// Sends rows to a host whose digest differs.
+    /// Sends records to a host whose digest differs.
     pub(super) fn send_suspects_to(&mut self, to: CompactString) {
         if !self.suspects.table.is_empty() {
-            let rows = self.suspects.table.take_records(self.now, MAX_SYNC_ROWS);
-            self.send(to, message::Body::Suspects(rows));
+            let records = self.suspects.table.take_records(self.now, MAX_SYNC_RECORDS);
+            self.send(to, message::Body::Suspects(records));
         }
     }
 
--- a/crates/core/src/control/views.rs
+++ b/crates/core/src/control/views.rs
@@ -7,7 +7,7 @@
 use super::{Core, Output, Source, Standing, note};
 
 /// Number of standby watchers in a data centre, which poll a registry while hosts ranked before them cannot reach it.
-const STANDBYS: usize = 3;
+const STANDBY_WATCHERS: usize = 3;
 
 /// Minimum time between two views if only members changed. Compiling a view of 270 servers takes about 10 ms on a
 /// host with an eighth of a core.
@@ -34,21 +34,21 @@
     pub(super) fn compile(&mut self) {
         self.compile_at = None;
         self.compiled_at = self.now;
-        if self.shelves.iter().any(|replica| replica.stamp.version == 0) {
+        if self.replicas.iter().any(|replica| replica.stamp.version == 0) {
             return;
         }
         if mutant::is(mutant::Mutant::ForgetLeaving) {
             self.servers.clear_marks();
         }
-        let stamps = [self.shelves[0].stamp, self.shelves[1].stamp];
-        let held = self.registry.held.leafs();
-        let reborn = self.incarnations.restarted();
+        let stamps = [self.replicas[0].stamp, self.replicas[1].stamp];
+        let held = self.registry.held.leaves();
+        let restarted = self.incarnations.restarted();
         let members = match self.reader.source {
             Source::Documents => 0,
             Source::Registry { .. } => self.members.count().max(self.identity.seeds.len()) as u32,
         };
         let relays = self.members.relays();
-        let this = plan::Relay {
+        let local = plan::Relay {
             name: self.identity.name.clone(),
             data_centre: self.identity.data_centre.clone(),
             address: self.identity.relay.clone(),
@@ -59,22 +59,22 @@
         let is_settled = self.standing == Standing::Settled;
         let tolerance = view::Tolerance { overage: self.policy.warm_up_overage, slack: self.policy.warm_up_slack };
         let fleet = plan::Fleet {
-            local: Some(&this),
+            local: Some(&local),
             members,
             is_settled,
             relays: &relays,
             held: &held,
-            restarted: &reborn,
+            restarted: &restarted,
             tolerance,
             regions: Some(&self.identity.regions),
         };
         let overrides = &self.restore_overrides;
         let is_used = |part: &&plan::Part| !matches!(part, plan::Part::Leaf(leaf) if overrides.is_removed(&leaf.name));
-        let parts = self.shelves.iter().flat_map(|replica| replica.parsed.values()).map(|part| &**part);
+        let parts = self.replicas.iter().flat_map(|replica| replica.parsed.values()).map(|part| &**part);
         let parts = parts.filter(is_used).chain(iter::once(&evacuated));
         let view = Arc::new(plan::compile(stamps, parts, fleet, &mut self.servers));
         self.log_evacuations(&view);
-        self.stats.entries = self.shelves[catalog::Kind::Hosts.index()].current.manifest.parts.len() as u64;
+        self.stats.entries = self.replicas[catalog::Kind::Hosts.index()].current.manifest.parts.len() as u64;
         self.stats.servers = view.servers.iter().flatten().filter(|server| !server.is_peer).count() as u64;
         self.stats.servers_held = held.len() as u64;
         self.view = Some(Arc::clone(&view));
@@ -105,7 +105,7 @@
             self.refresh_from_members();
             return;
         }
-        for part in self.shelves[catalog::Kind::Hosts.index()].parsed.values() {
+        for part in self.replicas[catalog::Kind::Hosts.index()].parsed.values() {
             let plan::Part::Hosts { entry_hosts, .. } = &**part else {
                 continue;
             };
@@ -132,11 +132,11 @@
         }
         rendezvous::rank(&self.identity.data_centre, &mut self.ranked);
         let max_watchers = self.policy.watchers as usize;
-        let unreachable = self.members.away();
+        let without_registry = self.members.without_registry();
         let rank = self.ranked.iter().position(|name| *name == self.identity.name).unwrap_or_default();
-        let reachable_before = self.ranked[..rank].iter().filter(|name| !unreachable.contains(*name)).count();
-        self.is_backup_watcher =
-            (max_watchers..max_watchers + STANDBYS).contains(&rank) && reachable_before < max_watchers;
+        let reachable_before = self.ranked[..rank].iter().filter(|name| !without_registry.contains(*name)).count();
+        self.is_standby_watcher =
+            (max_watchers..max_watchers + STANDBY_WATCHERS).contains(&rank) && reachable_before < max_watchers;
         let watchers = &self.ranked[..self.ranked.len().min(max_watchers)];
         let is_watcher = |host: &plan::EntryHost| watchers.contains(&host.name);
         self.watcher_peers =
--- a/crates/core/src/plan/compile.rs
+++ b/crates/core/src/plan/compile.rs
@@ -16,7 +16,7 @@
 /// This host's knowledge of the fleet that is not in the documents.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fleet<'l> {
-    /// This host; `None` if the documents suffice without it.
+    /// This host; `None` to compile from the documents alone.
     pub local: Option<&'l Relay>,
     /// The other known hosts, to which this one may relay requests.
     pub relays: &'l [Relay],
@@ -117,7 +117,7 @@
     shares: &IndexMap<CompactString, u32>,
     registry: &mut view::Registry,
 ) -> IndexMap<CompactString, Vec<(id::Server, &'l Leaf)>> {
-    let local_centre = fleet.local.map_or("", |local| local.data_centre.as_str());
+    let local_data_centre = fleet.local.map_or("", |local| local.data_centre.as_str());
     let services: IndexMap<&CompactString, &routing::Upstream> =
         routing.services.iter().map(|service| (&service.name, service)).collect();
     let mut by_service: IndexMap<CompactString, Vec<(id::Server, &Leaf)>> = IndexMap::new();
@@ -142,7 +142,7 @@
             leaving: registry.is_leaving(id, leaf.incarnation),
             evacuated: is_evacuated(view, &leaf.data_centre),
             region: CompactString::from(routing::region(fleet.regions, &leaf.data_centre)),
-            distance: if leaf.data_centre == local_centre { view::Distance::Near } else { view::Distance::Far },
+            distance: if leaf.data_centre == local_data_centre { view::Distance::Near } else { view::Distance::Far },
             own_share: Some(if fleet.is_settled { share } else { share.min(UNSETTLED_SHARE) }),
             is_peer: false,
             warm_up: warm_up.map(|warm_up| warm_up_limits(warm_up, leaf.warming, &leaf.service, registry)),
--- a/crates/core/src/plan/mod.rs
+++ b/crates/core/src/plan/mod.rs
@@ -1,7 +1,7 @@
 //! Parsed documents, their validation, and their compilation to a view.
 //!
-//! Acceptance is a pure function of the documents, so every host reaches the same decision: [`check`]
-//! validates the parts together and lists every fault, and [`compile`] turns accepted parts into a
+//! Acceptance is a pure function of the documents, so every host reaches the same decision: [`check()`]
+//! validates the parts together and lists every fault, and [`compile()`] turns accepted parts into a
 //! [`view::View`]. The settings package parses the YAML.
 
 use std::fmt;
--- a/crates/core/src/plan/owner.rs
+++ b/crates/core/src/plan/owner.rs
@@ -48,7 +48,8 @@
 }
 
 impl Tiers {
-    /// Chooses the tiers for a set of shards whose servers are in the data centres `homes` and accept `connections` each.
+    /// Chooses the tiers for a set of shards whose servers are in the data centres `homes` and accept `connections`
+    /// each.
     pub fn new(set_key: &str, homes: &IndexSet<CompactString>, candidates: &[Candidate], connections: u32) -> Self {
         let is_home = |index: usize| homes.contains(&candidates[index].data_centre);
         let mut order: Vec<usize> = (0..candidates.len()).collect();
--- a/crates/core/src/plan/routing.rs
+++ b/crates/core/src/plan/routing.rs
@@ -100,8 +100,8 @@
     pub incarnation: u64,
 }
 
-/// Reports faults of routes. Names must be unique, and so must pairs of host and prefix, because of two equal ones
-/// either could apply.
+/// Reports faults of routes. Names must be unique, and so must pairs of host and prefix, because either of two equal
+/// ones could apply.
 pub(super) fn check(document: &CompactString, routing: &Routing, faults: &mut Vec<Fault>) {
     let mut names = IndexSet::new();
     let mut prefixes = IndexSet::new();
--- a/crates/core/src/suspect/entry.rs
+++ b/crates/core/src/suspect/entry.rs
@@ -185,8 +185,8 @@
         record.cleared_attempts.iter().for_each(|attempt| self.attempts.clear(attempt));
         record.servers.iter().for_each(|server| self.servers.add(server));
         let is_live = |attempt: &&u64| !self.attempts.cleared.contains(*attempt);
-        let room = MAX_ITEMS.saturating_sub(self.trials.len());
-        let trials: Vec<u64> = record.tried.iter().filter(is_live).take(room).copied().collect();
+        let capacity = MAX_ITEMS.saturating_sub(self.trials.len());
+        let trials: Vec<u64> = record.tried.iter().filter(is_live).take(capacity).copied().collect();
         self.trials.extend(trials);
         self.trials.retain(|attempt| !self.attempts.cleared.contains(attempt));
         for attempt in &record.attempts {
--- a/crates/core/src/traffic/admit.rs
+++ b/crates/core/src/traffic/admit.rs
@@ -22,7 +22,7 @@
 struct Route {
     selector: usize,
     branch: usize,
-    is_passed_on: bool,
+    is_forwarded: bool,
     trial: query::Trial,
 }
 
@@ -41,9 +41,9 @@
             suspect::Hold::None => query::Trial::None,
             suspect::Hold::Granted => query::Trial::Granted,
             suspect::Hold::Open => query::Trial::Requested,
-            suspect::Hold::Closed { fingerprint, retry_after: left } => {
-                let why = why::Why::Crashes { fingerprint, retry_after: left };
-                self.refuse(&request, event::Code::CrashesServers, Some(left), why);
+            suspect::Hold::Closed { fingerprint, retry_after } => {
+                let why = why::Why::Crashes { fingerprint, retry_after };
+                self.refuse(&request, event::Code::CrashesServers, Some(retry_after), why);
                 return;
             }
         };
@@ -54,8 +54,8 @@
         }
         let class_index = self.class_index(&request.class);
         let branch = self.pick_branch(class_index, class);
-        let is_passed_on = request.relayed.is_none() && self.may_forward(class);
-        if !is_passed_on && !self.is_reachable(class, branch) {
+        let is_forwarded = request.relayed.is_none() && self.may_forward(class);
+        if !is_forwarded && !self.is_reachable(class, branch) {
             let why = self.no_replica_reason(class, branch);
             self.refuse(&request, event::Code::NoReplica, Some(NO_REPLICA_RETRY_AFTER), why);
             return;
@@ -73,9 +73,11 @@
         }
         let settle_at = match request.relayed {
             Some(relayed) => relayed.settle.map(|settle| self.now + settle),
-            None => class.target_latency.map(|aim| self.now + self.time_to_aim(class_index, aim, request.timeout)),
+            None => {
+                class.target_latency.map(|target| self.now + self.time_to_target(class_index, target, request.timeout))
+            }
         };
-        if let Some(settle_at) = settle_at.filter(|_| !is_passed_on)
+        if let Some(settle_at) = settle_at.filter(|_| !is_forwarded)
             && let Some((retry_after, why)) =
                 self.capacity_refusal(class_index, class, branch, settle_at.since(self.now))
         {
@@ -97,7 +99,7 @@
             }
         }
         let deadline = self.now + timeout - self.policy.margin;
-        self.enqueue(request, class_index, Route { selector, branch, is_passed_on, trial }, deadline, settle_at);
+        self.enqueue(request, class_index, Route { selector, branch, is_forwarded, trial }, deadline, settle_at);
     }
 
     /// Picks the branch for the next request of a class, by weight.
@@ -109,15 +111,20 @@
         self.classes[class_index].split.next(class.branches.iter().map(|branch| branch.weight), start)
     }
 
-    /// Time until an answer must be sent to meet the aim, which counts from the caller's first
-    /// attempt. A caller that retries has a shorter timeout left than initially; the difference to
-    /// the longest timeout of the class's callers estimates the time since that first attempt.
-    fn time_to_aim(&mut self, class_index: usize, aim: clock::Millis, timeout: Option<clock::Millis>) -> clock::Millis {
+    /// Time until an answer must be sent to meet the target latency, which counts from the caller's
+    /// first attempt. The remaining timeout of a caller that retries is shorter than its first one; the difference
+    /// to the longest timeout of the class's callers estimates the time since that first attempt.
+    fn time_to_target(
+        &mut self,
+        class_index: usize,
+        target_latency: clock::Millis,
+        timeout: Option<clock::Millis>,
+    ) -> clock::Millis {
         let Some(timeout) = timeout else {
-            return aim - self.policy.aim_margin;
+            return target_latency - self.policy.aim_margin;
         };
         let max_timeout = self.classes[class_index].timeouts.record(self.now, timeout);
-        aim - self.policy.aim_margin - max_timeout.since(timeout)
+        target_latency - self.policy.aim_margin - max_timeout.since(timeout)
     }
 
     fn enqueue(
@@ -136,7 +143,7 @@
             view: Arc::clone(&self.view),
             selector: route.selector,
             branch: route.branch,
-            is_forwarded: route.is_passed_on,
+            is_forwarded: route.is_forwarded,
             via: None,
             key: request.key,
             fingerprint: request.fingerprint,
@@ -152,7 +159,7 @@
             groups: Vec::new(),
             want: None,
             failed_shards: 0,
-            is_placing: false,
+            is_dispatching: false,
             pending_hint: 0,
             may_have_run: false,
             last_answer: None,
@@ -281,8 +288,8 @@
         let has_waited = query.arrived < now;
         if has_waited && query.deadline <= now + self.classes[class].median_run_time() {
             let retry_after = self.classes[class].retry_after();
-            let (wait, left) = (now.since(query.arrived), query.deadline.since(now));
-            let why = why::Why::Waited { wait, run: self.classes[class].median_run_time(), remaining: left };
+            let (wait, remaining) = (now.since(query.arrived), query.deadline.since(now));
+            let why = why::Why::Waited { wait, run: self.classes[class].median_run_time(), remaining };
             self.finish_with_reason(id, event::Code::Overloaded, Some(retry_after), why);
             return;
         }
@@ -312,23 +319,23 @@
         // A view that arrived while the query waited may have changed the branches.
         query.branch = query.branch.min(class.branches.len().saturating_sub(1));
         query.started.get_or_insert(now);
-        let parts = query.targets().len();
-        query.shards = vec![query::Shard::default(); parts];
+        let shard_count = query.targets().len();
+        query.shards = vec![query::Shard::default(); shard_count];
         query.groups.clear();
         query.failed_shards = 0;
         query.last_answer = None;
         query.want = None;
-        query.is_placing = true;
-        let count = parts as u64;
+        query.is_dispatching = true;
+        let count = shard_count as u64;
         let class_index = query.class;
         if let Some(settle) = class.settle {
             query.settle_at = Some(now + settle);
         }
-        let is_passed_on = query.is_forwarded;
-        if let Some(settle_at) = query.settle_at.filter(|_| !is_passed_on) {
+        let is_forwarded = query.is_forwarded;
+        if let Some(settle_at) = query.settle_at.filter(|_| !is_forwarded) {
             self.timers.push(settle_at.max(now), Timer::Settle(id));
         }
-        if !is_passed_on && query.restarts == 0 {
+        if !is_forwarded && query.restarts == 0 {
             for target in query.targets() {
                 self.fleet.earn(now, target.service);
             }
@@ -351,14 +358,14 @@
     /// Sends the first attempts for the shards of a query from index `first` on.
     pub(super) fn dispatch_from(&mut self, id: id::Query, first: u32) {
         let count = self.queries.get(id.0).map_or(0, |query| query.shards.len()) as u32;
-        for part in first..count {
-            self.dispatch(id, part, query::Kind::First);
+        for shard_index in first..count {
+            self.dispatch(id, shard_index, query::Kind::First);
             if self.queries.get(id.0).is_none() {
                 return;
             }
         }
         if let Some(query) = self.queries.get_mut(id.0) {
-            query.is_placing = false;
+            query.is_dispatching = false;
             self.settle(id);
         }
     }
--- a/crates/core/src/traffic/choose.rs
+++ b/crates/core/src/traffic/choose.rs
@@ -29,7 +29,7 @@
         if !class.idempotent && row.key.is_some() {
             return self.choose_by_key(query, shard_index);
         }
-        let may_try_more = class.max_servers.is_none_or(|most| state.reached_servers() < usize::from(most));
+        let may_try_more = class.max_servers.is_none_or(|max| state.reached_servers() < usize::from(max));
         let mut best: Option<(u8, view::Distance, u32, id::Server)> = None;
         let mut second: Option<(u8, view::Distance, u32, id::Server)> = None;
         for &id in replicas {
@@ -122,7 +122,7 @@
     }
 
     /// Whether requests of `class` may go to `id` under the current view. Operators may have changed the
-    /// class's home regions since the query began, and queued work was placed under the previous view.
+    /// class's home regions since the query began, and queued work was dispatched under the previous view.
     pub(super) fn is_in_home_region(&self, class: &str, id: id::Server) -> bool {
         let Some(class) = self.view.classes.get(class).filter(|class| !class.homes.is_empty()) else {
             return true;
--- a/crates/core/src/traffic/class.rs
+++ b/crates/core/src/traffic/class.rs
@@ -26,7 +26,7 @@
 /// Upper bound of the retry-after, so that callers notice the end of an overload.
 const RETRY_AFTER_MAX: clock::Millis = clock::Millis(2000);
 
-/// Minimum time for which the longest timeout is remembered; a lower maximum shows after that.
+/// Minimum time for which the longest timeout is remembered; a lower maximum takes effect after that.
 const TIMEOUT_WINDOW: clock::Millis = clock::Millis(10_000);
 
 /// The longest recent timeout of a class's callers, over two consecutive windows.
--- a/crates/core/src/traffic/dispatch.rs
+++ b/crates/core/src/traffic/dispatch.rs
@@ -15,47 +15,48 @@
 
 impl super::Core {
     /// Sends an attempt for a shard, or queues it until a server has capacity.
-    pub(super) fn dispatch(&mut self, query: id::Query, part: u32, kind: query::Kind) {
-        let Some(server) = self.choose(query, part) else {
-            self.fail_part(query, part);
+    pub(super) fn dispatch(&mut self, query: id::Query, shard_index: u32, kind: query::Kind) {
+        let Some(server) = self.choose(query, shard_index) else {
+            self.fail_shard(query, shard_index);
             return;
         };
-        if self.has_room(server) {
-            self.send(query, part, server, kind);
+        if self.has_capacity(server) {
+            self.send(query, shard_index, server, kind);
             return;
         }
         if self.servers[server.index()].share == 0 {
-            self.fail_part(query, part);
+            self.fail_shard(query, shard_index);
             return;
         }
-        self.queue_at(query, part, server);
+        self.queue_at(query, shard_index, server);
     }
 
     /// Whether an attempt may be sent to `server` now.
-    pub(super) fn has_room(&self, server: id::Server) -> bool {
+    pub(super) fn has_capacity(&self, server: id::Server) -> bool {
         !self.is_sending_paused && self.servers[server.index()].has_capacity(self.now)
     }
 
-    fn queue_at(&mut self, id: id::Query, part: u32, server: id::Server) {
+    fn queue_at(&mut self, id: id::Query, shard_index: u32, server: id::Server) {
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        query.shards[part as usize].is_waiting = true;
+        query.shards[shard_index as usize].is_waiting = true;
         let priority = usize::from(query.selector().priority).min(view::Class::PRIORITIES - 1);
         let server_state = &mut self.servers[server.index()];
-        server_state.waiting[priority].push_back(server::Wait { query: id, shard_index: part });
+        server_state.waiting[priority].push_back(server::Wait { query: id, shard_index });
         if server_state.inflight == 0 {
-            self.timers.push(server_state.ready_at(self.now).max(self.now + clock::Millis(1)), Timer::Pump(server));
+            self.timers
+                .push(server_state.ready_at(self.now).max(self.now + clock::Millis(1)), Timer::SendWaiting(server));
         }
     }
 
-    pub(super) fn send(&mut self, id: id::Query, part: u32, server: id::Server, kind: query::Kind) {
+    pub(super) fn send(&mut self, id: id::Query, shard_index: u32, server: id::Server, kind: query::Kind) {
         let now = self.now;
         if self.finish_if_blocked(id) {
             return;
         }
         let Some(published) = self.view.server(server) else {
-            self.fail_part(id, part);
+            self.fail_shard(id, shard_index);
             return;
         };
         let name = published.name.clone();
@@ -68,10 +69,10 @@
         let class = query.class;
         let view = Arc::clone(&query.view);
         let selector = &view.classes[query.selector];
-        let is_paid = std::mem::take(&mut query.shards[part as usize].is_paid);
+        let is_paid = std::mem::take(&mut query.shards[shard_index as usize].is_paid);
         let attempt = query::Attempt {
             query: id,
-            shard_index: part,
+            shard_index,
             server,
             sent: now,
             kind,
@@ -81,15 +82,15 @@
         };
         let attempt = id::Attempt(self.attempts.insert(attempt));
         if kind == query::Kind::Retry {
-            self.note_extra(id, part, server, note::Cause::Failure);
+            self.log_extra(id, shard_index, server, note::Cause::Failure);
         }
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let part_state = &mut query.shards[part as usize];
-        part_state.is_waiting = false;
-        part_state.record_tried(server);
-        part_state.add_live(attempt);
+        let shard = &mut query.shards[shard_index as usize];
+        shard.is_waiting = false;
+        shard.record_tried(server);
+        shard.add_live(attempt);
         match kind {
             query::Kind::First => query.cost.first += 1,
             query::Kind::Hedge => query.cost.hedges += 1,
@@ -102,7 +103,7 @@
             server,
             name,
             address,
-            shard: query.target(part).shard.clone(),
+            shard: query.target(shard_index).shard.clone(),
             key: query.key.clone(),
             deadline: query.deadline,
             epoch: selector.epoch,
@@ -111,7 +112,7 @@
             relayed,
             idempotent: selector.idempotent,
         };
-        let service = query.target(part).service;
+        let service = query.target(shard_index).service;
         let may_run_twice = !selector.idempotent && query.may_have_run;
         if may_run_twice {
             let detail = format!("{id} {attempt} after an attempt that may have run");
@@ -124,7 +125,7 @@
             self.breach(invariant::Name::NoWorkToEvacuated, format!("{id} {attempt} to {server}"));
         }
         self.count_attempt(class, service, server, kind);
-        self.note_suspect(id, part, server);
+        self.log_suspect(id, shard_index, server);
         self.outputs.push(event::Output::Dispatch(dispatch));
     }
 
@@ -147,7 +148,7 @@
         let class_state = &self.classes[class];
         if class_state.hedges.is_within_bound()
             && class_state.retries.is_within_bound()
-            && self.fleet.holds(self.now, service)
+            && self.fleet.is_within_bound(self.now, service)
         {
             return;
         }
@@ -175,7 +176,7 @@
             self.requeue(server);
             return;
         }
-        while self.has_room(server) {
+        while self.has_capacity(server) {
             let server_state = &mut self.servers[server.index()];
             let Some(wait) = server_state.waiting.iter_mut().find_map(|queue| queue.pop_front()) else {
                 return;
@@ -194,7 +195,7 @@
         let server_state = &self.servers[server.index()];
         if server_state.inflight == 0 && server_state.waiting_len() > 0 {
             let at = server_state.ready_at(self.now).max(self.now + clock::Millis(1));
-            self.timers.push(at, Timer::Pump(server));
+            self.timers.push(at, Timer::SendWaiting(server));
         }
     }
 
@@ -202,7 +203,7 @@
         let Some(query) = self.queries.get(wait.query.0) else {
             return false;
         };
-        query.shards.get(wait.shard_index as usize).is_some_and(|part| part.is_waiting)
+        query.shards.get(wait.shard_index as usize).is_some_and(|shard| shard.is_waiting)
     }
 
     fn next_kind(&self, wait: server::Wait) -> query::Kind {
@@ -224,7 +225,7 @@
 
     /// Handles a failed attempt. `is_known_not_run` is set if it is proven that the attempt did not run; `is_free` if
     /// the retry costs no budget.
-    pub(super) fn retry(&mut self, id: id::Query, part: u32, is_known_not_run: bool, is_free: bool) {
+    pub(super) fn retry(&mut self, id: id::Query, shard_index: u32, is_known_not_run: bool, is_free: bool) {
         let Some(query) = self.queries.get(id.0) else {
             return;
         };
@@ -235,8 +236,8 @@
             return;
         }
         let selector = query.selector();
-        let part_state = query.shards[part as usize];
-        if part_state.is_pending() || part_state.has_reply() {
+        let shard = query.shards[shard_index as usize];
+        if shard.is_pending() || shard.has_reply() {
             self.settle(id);
             return;
         }
@@ -247,10 +248,10 @@
             self.finish_unanswered(id, event::Code::AttemptLost, None);
             return;
         }
-        let replicas = &query.target(part).replicas;
-        let may_try_more = selector.max_servers.is_none_or(|most| part_state.reached_servers() < usize::from(most));
-        let has_untried = may_try_more && replicas.iter().any(|&id| !part_state.was_tried(id) && self.is_open(id));
-        let is_out_of_attempts = part_state.tries >= self.policy.attempts_per_shard;
+        let replicas = &query.target(shard_index).replicas;
+        let may_try_more = selector.max_servers.is_none_or(|max| shard.reached_servers() < usize::from(max));
+        let has_untried = may_try_more && replicas.iter().any(|&id| !shard.was_tried(id) && self.is_open(id));
+        let is_out_of_attempts = shard.tries >= self.policy.attempts_per_shard;
         // If the other host did not run the request, the retry is free: this host can gather itself.
         let is_free = is_free || query.is_forwarded && is_known_not_run;
         let is_relay_exhausted = query.is_forwarded && !has_untried;
@@ -258,54 +259,54 @@
             return;
         }
         if is_out_of_attempts {
-            self.fail_part(id, part);
+            self.fail_shard(id, shard_index);
             return;
         }
-        if !is_free && !self.spend(id, part, query::Kind::Retry) {
-            self.wait_for_budget(id, part, is_known_not_run);
+        if !is_free && !self.spend(id, shard_index, query::Kind::Retry) {
+            self.wait_for_budget(id, shard_index, is_known_not_run);
             return;
         }
         if has_untried {
-            self.dispatch(id, part, query::Kind::Retry);
+            self.dispatch(id, shard_index, query::Kind::Retry);
             return;
         }
-        self.back_off(id, part, part_state.tries);
+        self.back_off(id, shard_index, shard.tries);
     }
 
-    fn back_off(&mut self, id: id::Query, part: u32, doublings: u8) {
+    fn back_off(&mut self, id: id::Query, shard_index: u32, doublings: u8) {
         let backoff = INITIAL_BACKOFF.0 << doublings.min(5);
         let jitter = self.random.random_range(0..=backoff);
         if let Some(query) = self.queries.get_mut(id.0) {
-            query.shards[part as usize].is_waiting = true;
+            query.shards[shard_index as usize].is_waiting = true;
         }
-        self.timers.push(self.now + clock::Millis(backoff + jitter), Timer::Retry(id, part));
+        self.timers.push(self.now + clock::Millis(backoff + jitter), Timer::Retry(id, shard_index));
     }
 
     /// Lets a shard whose attempt did not run wait a few times for the retry budget to refill; failing
     /// it at the first empty budget would waste the work of the query's other shards. A shard whose
     /// attempt may have run fails at once.
-    fn wait_for_budget(&mut self, id: id::Query, part: u32, is_known_not_run: bool) {
+    fn wait_for_budget(&mut self, id: id::Query, shard_index: u32, is_known_not_run: bool) {
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let part_state = &mut query.shards[part as usize];
-        if !is_known_not_run || part_state.budget_waits >= MAX_BUDGET_WAITS {
-            self.fail_part(id, part);
+        let shard = &mut query.shards[shard_index as usize];
+        if !is_known_not_run || shard.budget_waits >= MAX_BUDGET_WAITS {
+            self.fail_shard(id, shard_index);
             return;
         }
-        part_state.budget_waits += 1;
-        part_state.needs_budget = true;
-        let doublings = part_state.budget_waits;
-        self.back_off(id, part, doublings);
+        shard.budget_waits += 1;
+        shard.needs_budget = true;
+        let doublings = shard.budget_waits;
+        self.back_off(id, shard_index, doublings);
     }
 
-    /// Takes a token for an extra attempt at a shard from the class's budget and from this host's part
+    /// Takes a token for an extra attempt at a shard from the class's budget and from this host's share
     /// of the fleet budget; from both or from neither.
-    pub(super) fn spend(&mut self, id: id::Query, part: u32, kind: query::Kind) -> bool {
+    pub(super) fn spend(&mut self, id: id::Query, shard_index: u32, kind: query::Kind) -> bool {
         let Some(query) = self.queries.get(id.0) else {
             return false;
         };
-        let service = query.target(part).service;
+        let service = query.target(shard_index).service;
         let class = &mut self.classes[query.class];
         let bucket = if kind == query::Kind::Hedge { &mut class.hedges } else { &mut class.retries };
         if mutant::is(mutant::Mutant::UnboundedExtra) && kind != query::Kind::Hedge {
@@ -316,43 +317,43 @@
             self.fleet.spend(self.now, service);
             // A restarted query pays for all its shards before their entries exist again.
             let query = self.queries.get_mut(id.0);
-            if let Some(part_state) = query.and_then(|query| query.shards.get_mut(part as usize)) {
-                part_state.is_paid = true;
+            if let Some(shard) = query.and_then(|query| query.shards.get_mut(shard_index as usize)) {
+                shard.is_paid = true;
             }
             return true;
         }
         let cause = if kind == query::Kind::Hedge { note::Cause::Silence } else { note::Cause::Failure };
-        let shard = query.target(part).shard.clone();
+        let shard = query.target(shard_index).shard.clone();
         let caller = query.caller;
-        self.note(note::Note::Denied { caller, shard, cause });
+        self.log(note::Note::Denied { caller, shard, cause });
         false
     }
 
-    pub(super) fn note_extra(&mut self, id: id::Query, part: u32, server: id::Server, cause: note::Cause) {
+    pub(super) fn log_extra(&mut self, id: id::Query, shard_index: u32, server: id::Server, cause: note::Cause) {
         let Some(query) = self.queries.get(id.0) else {
             return;
         };
         let caller = query.caller;
-        let shard = query.target(part).shard.clone();
+        let shard = query.target(shard_index).shard.clone();
         let after = self.now.since(query.arrived);
         let server = self.server_name(server);
-        self.note(note::Note::Extra { caller, shard, server, cause, after });
+        self.log(note::Note::Extra { caller, shard, server, cause, after });
     }
 
-    pub(super) fn on_backoff_end(&mut self, id: id::Query, part: u32) {
-        if !self.is_waiting(server::Wait { query: id, shard_index: part }) {
+    pub(super) fn on_backoff_end(&mut self, id: id::Query, shard_index: u32) {
+        if !self.is_waiting(server::Wait { query: id, shard_index }) {
             return;
         }
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let part_state = &mut query.shards[part as usize];
-        part_state.is_waiting = false;
-        let needs_budget = std::mem::take(&mut part_state.needs_budget);
-        if needs_budget && !self.spend(id, part, query::Kind::Retry) {
-            self.wait_for_budget(id, part, true);
+        let shard = &mut query.shards[shard_index as usize];
+        shard.is_waiting = false;
+        let needs_budget = std::mem::take(&mut shard.needs_budget);
+        if needs_budget && !self.spend(id, shard_index, query::Kind::Retry) {
+            self.wait_for_budget(id, shard_index, true);
             return;
         }
-        self.dispatch(id, part, query::Kind::Retry);
+        self.dispatch(id, shard_index, query::Kind::Retry);
     }
 }
--- a/crates/core/src/traffic/event.rs
+++ b/crates/core/src/traffic/event.rs
@@ -29,7 +29,7 @@
     /// The new policy for requests that may crash servers; replaces the previous one.
     Suspects(Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>),
     /// A trial requested with [`Output::RequestTrial`] was granted.
-    Granted(suspect::Trial),
+    TrialGranted(suspect::Trial),
     /// The result of [`Output::Probe`].
     Probed {
         /// The probed server.
@@ -61,7 +61,7 @@
     pub caller: id::Caller,
     /// Name of the selector.
     pub class: CompactString,
-    /// The caller's remaining timeout from now, at most the selector's deadline, which `None` stands for.
+    /// Time from now until the caller gives up; `None` for the selector's deadline, which also bounds it.
     pub timeout: Option<clock::Millis>,
     /// The request key. Non-idempotent requests that share a key run at most once.
     pub key: Option<CompactString>,
@@ -191,7 +191,7 @@
     Crashed(suspect::Crash),
     /// Report that a server answered a suspected request.
     Cleared(suspect::Fingerprint),
-    /// Request a trial, which permits an attempt of a suspected request; [`Input::Granted`] grants it.
+    /// Request a trial, which permits an attempt of a suspected request; [`Input::TrialGranted`] grants it.
     RequestTrial(suspect::Trial),
     /// Report that a granted trial ended without reaching a server.
     TrialUnused(suspect::Trial),
@@ -389,7 +389,7 @@
     pub code: Code,
     /// The inputs of the decision, for the log.
     pub why: why::Why,
-    /// The time by which it misses its aim; `None` if it meets it.
+    /// The time by which it misses the target latency; `None` if it meets it.
     pub lateness: Option<clock::Millis>,
     /// The snapshot of all contributions; `None` unless answered.
     pub snapshot: Option<view::Snapshot>,
--- a/crates/core/src/traffic/finish.rs
+++ b/crates/core/src/traffic/finish.rs
@@ -29,9 +29,9 @@
         let mut contributed = Vec::with_capacity(best.shard_count);
         let mut missing = Vec::new();
         let mut is_one_snapshot = true;
-        for (part, target) in query.shards.iter().zip(query.targets()) {
+        for (shard, target) in query.shards.iter().zip(query.targets()) {
             let reply =
-                if mutant::is(mutant::Mutant::MixSnapshots) { part.replies[0] } else { part.reply_of(best.snapshot) };
+                if mutant::is(mutant::Mutant::MixSnapshots) { shard.replies[0] } else { shard.reply_of(best.snapshot) };
             let Some(reply) = reply else {
                 missing.push(target.shard.clone());
                 continue;
@@ -87,7 +87,7 @@
         let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        let is_live = query.shards.iter().any(|part| part.live_count() > 0);
+        let is_live = query.shards.iter().any(|shard| shard.live_count() > 0);
         let may_have_run = query.may_have_run || is_live;
         let is_not_run = !may_have_run || mutant::is(mutant::Mutant::AssumeNotRun);
         let outcome = if is_not_run { event::Outcome::NotRun } else { event::Outcome::Unknown };
@@ -116,7 +116,7 @@
             self.breach(invariant::Name::OwnWholeAnswer, format!("{id}: not the query of {:?}", query.caller));
         }
         self.report_unused_trial(&query);
-        for attempt in query.shards.iter().flat_map(|part| part.live).flatten() {
+        for attempt in query.shards.iter().flat_map(|shard| shard.live).flatten() {
             if outcome != event::Outcome::Answered && query.last_answer.is_none() {
                 self.record_abandoned(&query, attempt);
             }
@@ -169,11 +169,11 @@
         class.on_run_end(self.now, took, is_within_target, self.policy.running_ceiling);
     }
 
-    /// The time by which an answer sent now misses its aim; `None` if it meets it or has none.
+    /// The time by which an answer sent now misses its target latency; `None` if it meets it or has none.
     fn lateness(&self, query: &query::Query) -> Option<clock::Millis> {
         query.selector().target_latency?;
-        let aim = query.settle_at? + self.policy.aim_margin;
-        (self.now > aim).then(|| self.now.since(aim))
+        let due_at = query.settle_at? + self.policy.aim_margin;
+        (self.now > due_at).then(|| self.now.since(due_at))
     }
 
     /// The shards that an answer still waits for, or else the last one that replied.
@@ -182,11 +182,11 @@
         if !silent.is_empty() {
             return why::Why::Silent(silent);
         }
-        let Some((part, server, sent)) = query.last_answer else {
+        let Some((shard_index, server, sent)) = query.last_answer else {
             return why::Why::CodeOnly;
         };
         why::Why::Last {
-            shard: query.target(part).shard.clone(),
+            shard: query.target(shard_index).shard.clone(),
             server: query.view.server(server).map(|server| server.name.clone()).unwrap_or_default(),
             sent_after: sent.since(query.arrived),
             took: self.now.since(sent),
@@ -196,13 +196,13 @@
     /// The shards that still wait for a reply, with the server and for how long.
     fn silent_shards(&self, query: &query::Query) -> Vec<why::Silent> {
         let mut silent = Vec::new();
-        for (part, target) in query.shards.iter().zip(query.targets()) {
-            if part.has_reply() {
+        for (shard, target) in query.shards.iter().zip(query.targets()) {
+            if shard.has_reply() {
                 continue;
             }
-            let attempts = part.live.iter().flatten().filter_map(|attempt| self.attempts.get(attempt.0));
+            let attempts = shard.live.iter().flatten().filter_map(|attempt| self.attempts.get(attempt.0));
             let first = attempts.min_by_key(|attempt| attempt.sent);
-            if first.is_none() && !part.is_waiting {
+            if first.is_none() && !shard.is_waiting {
                 continue;
             }
             let server = first.and_then(|attempt| query.view.server(attempt.server)).map(|server| server.name.clone());
@@ -225,11 +225,11 @@
         missing: &[CompactString],
     ) {
         let mut tried = Vec::new();
-        for (part, target) in query.shards.iter().zip(query.targets()) {
+        for (shard, target) in query.shards.iter().zip(query.targets()) {
             if !missing.contains(&target.shard) {
                 continue;
             }
-            let names = part.tried.iter().flatten().filter_map(|&id| query.view.server(id));
+            let names = shard.tried.iter().flatten().filter_map(|&id| query.view.server(id));
             tried.push((target.shard.clone(), names.map(|server| server.name.clone()).collect()));
         }
         self.recent.push(summary::Summary {
--- a/crates/core/src/traffic/fleet.rs
+++ b/crates/core/src/traffic/fleet.rs
@@ -38,7 +38,7 @@
 
     /// Sets this lane's shares of the slack: `default_share`, and `shares` for the services listed there. The
     /// latter are for the whole host and are divided by `lanes`.
-    pub(crate) fn set_shares(
+    pub(crate) fn set_limit_shares(
         &mut self,
         now: clock::Millis,
         default_share: f64,
@@ -51,12 +51,12 @@
         };
         for (index, bucket) in self.buckets.iter_mut().enumerate() {
             if !shares.contains_key(&id::Service(index as u32)) {
-                set_share(bucket, now, &bound, self.default_share);
+                set_limit_share(bucket, now, &bound, self.default_share);
             }
         }
         for (&service, share) in shares {
             if let Some(bucket) = self.bucket(now, service) {
-                set_share(bucket, now, &bound, share / f64::from(lanes));
+                set_limit_share(bucket, now, &bound, share / f64::from(lanes));
             }
         }
     }
@@ -70,7 +70,7 @@
             let mut bucket = budget::Bucket::empty(bound.ratio, 0.0);
             // No tokens accrue for the time before the first request.
             bucket.fill(now);
-            set_share(&mut bucket, now, &bound, self.default_share);
+            set_limit_share(&mut bucket, now, &bound, self.default_share);
             self.buckets.push(bucket);
         }
         let bucket = self.buckets.get_mut(service.index())?;
@@ -105,13 +105,13 @@
     }
 
     /// Whether the bound holds for `service`.
-    pub(crate) fn holds(&mut self, now: clock::Millis, service: id::Service) -> bool {
+    pub(crate) fn is_within_bound(&mut self, now: clock::Millis, service: id::Service) -> bool {
         self.bucket(now, service).is_none_or(|bucket| bucket.is_within_bound())
     }
 }
 
 /// Sets the capacity and refill rate of a bucket for `share` of the slack.
-fn set_share(bucket: &mut budget::Bucket, now: clock::Millis, bound: &policy::Fleet, share: f64) {
+fn set_limit_share(bucket: &mut budget::Bucket, now: clock::Millis, bound: &policy::Fleet, share: f64) {
     let slack = bound.slack * DISTRIBUTED_FRACTION * share;
     bucket.set_capacity(slack * BURST_FRACTION);
     bucket.set_rate(now, slack * (1.0 - BURST_FRACTION) / bound.window.0.max(1) as f64);
--- a/crates/core/src/traffic/gather.rs
+++ b/crates/core/src/traffic/gather.rs
@@ -30,7 +30,7 @@
             self.servers[attempt.server.index()].on_activity(self.now);
         }
         match reply {
-            event::Reply::Answered(part) => self.on_answered(id, attempt, part),
+            event::Reply::Answered(answer) => self.on_answered(id, attempt, answer),
             event::Reply::Failed => self.on_failed(id, attempt),
             event::Reply::Refused { retry_after } => self.on_refused(attempt, retry_after),
             event::Reply::Misdirected => self.on_misdirected(attempt),
@@ -44,11 +44,11 @@
         let took = self.now.since(attempt.sent);
         let is_still_ejected = self.servers[attempt.server.index()].is_ejected(self.now);
         if self.servers[attempt.server.index()].was_ejected() {
-            self.note(note::Note::Restored { server: self.server_name(attempt.server) });
+            self.log(note::Note::Restored { server: self.server_name(attempt.server) });
         }
-        let usual = self.classes[attempt.class].median_attempt_time(attempt.is_relay);
+        let median = self.classes[attempt.class].median_attempt_time(attempt.is_relay);
         let state = &mut self.servers[attempt.server.index()];
-        state.on_answer(self.now, took, usual, &answer);
+        state.on_answer(self.now, took, median, &answer);
         state.snapshots = [Some(answer.snapshot), answer.held];
         self.ejected = self.ejected.saturating_sub(usize::from(is_still_ejected));
         self.release(attempt.server);
@@ -83,21 +83,21 @@
         if is_canary {
             self.dispatch_from(attempt.query, attempt.shard_index + 1);
             if let Some(query) = self.queries.get_mut(attempt.query.0) {
-                query.is_placing = false;
+                query.is_dispatching = false;
             }
         }
         self.settle(attempt.query);
     }
 
     /// Cancels the other live attempts of a shard that has its reply.
-    fn cancel_siblings(&mut self, id: id::Query, part: u32, snapshot: view::Snapshot) {
+    fn cancel_siblings(&mut self, id: id::Query, shard_index: u32, snapshot: view::Snapshot) {
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
         if query.want.is_some_and(|want| want != snapshot) {
             return;
         }
-        let live = std::mem::take(&mut query.shards[part as usize].live);
+        let live = std::mem::take(&mut query.shards[shard_index as usize].live);
         for attempt in live.into_iter().flatten() {
             self.cancel(attempt);
         }
@@ -106,30 +106,30 @@
     /// Cancels an attempt that is no longer needed and closes its connection, so that the server drops the
     /// request. A new connection costs 1 to 6 ms of a slot, the request itself 10 to 30 ms. Letting cancelled
     /// attempts run for up to 300 ms saved connections but cost slots: with searches of 28 ms, answers within
-    /// the aim, weighted by the square of their coverage, fell from 0.877 to 0.848 of all requests (15 runs of
-    /// 34 s with faults, same seeds); with searches of 11 or 15 ms there was no difference.
+    /// the target latency, weighted by the square of their coverage, fell from 0.877 to 0.848 of all requests (15
+    /// runs of 34 s with faults, same seeds); with searches of 11 or 15 ms there was no difference.
     pub(super) fn cancel(&mut self, id: id::Attempt) {
         let Some(attempt) = self.attempts.remove(id.0) else {
             return;
         };
         let took = self.now.since(attempt.sent);
-        let usual = self.classes[attempt.class].median_attempt_time(attempt.is_relay);
-        self.servers[attempt.server.index()].on_cancel(self.now, took, usual);
+        let median = self.classes[attempt.class].median_attempt_time(attempt.is_relay);
+        self.servers[attempt.server.index()].on_cancel(self.now, took, median);
         self.outputs.push(event::Output::Cancel { attempt: id });
         self.timers.push(self.now + self.policy.close_lag, Timer::ConnectionClosed(attempt.server));
     }
 
-    fn note_failed(&mut self, attempt: query::Attempt, end: event::Reply) {
+    fn log_failed(&mut self, attempt: query::Attempt, end: event::Reply) {
         let caller = self.queries.get(attempt.query.0).map(|query| query.caller);
         let server = self.server_name(attempt.server);
         let took = self.now.since(attempt.sent);
-        self.note(note::Note::Failed { caller, server, end, took });
+        self.log(note::Note::Failed { caller, server, end, took });
     }
 
     /// Handles a request that the server ran and failed: retries it at another replica unless it may run only once.
     fn on_failed(&mut self, id: id::Attempt, attempt: query::Attempt) {
         self.stats.lost += 1;
-        self.note_failed(attempt, event::Reply::Failed);
+        self.log_failed(attempt, event::Reply::Failed);
         if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.may_have_run = true;
             query.failure = Some(id);
@@ -140,7 +140,7 @@
             self.finish_unanswered(attempt.query, event::Code::ServerFailed, None);
             return;
         }
-        self.note_failure(attempt.server);
+        self.record_failure(attempt.server);
         self.release(attempt.server);
         self.retry(attempt.query, attempt.shard_index, false, false);
     }
@@ -148,7 +148,7 @@
     /// Handles a reply from another server that now has the intended server's address.
     fn on_misdirected(&mut self, attempt: query::Attempt) {
         self.stats.refused += 1;
-        self.note_failed(attempt, event::Reply::Misdirected);
+        self.log_failed(attempt, event::Reply::Misdirected);
         self.on_server_gone(attempt.server);
         // A reply to a request sent before the address changed does not apply to the current address.
         let server_state = &mut self.servers[attempt.server.index()];
@@ -160,7 +160,7 @@
 
     fn on_refused(&mut self, attempt: query::Attempt, retry_after: Option<clock::Millis>) {
         self.stats.refused += 1;
-        self.note_failed(attempt, event::Reply::Refused { retry_after });
+        self.log_failed(attempt, event::Reply::Refused { retry_after });
         self.servers[attempt.server.index()].on_shed(self.now, retry_after);
         self.release(attempt.server);
         self.retry(attempt.query, attempt.shard_index, true, false);
@@ -177,10 +177,10 @@
 
     fn on_not_sent(&mut self, attempt: query::Attempt) {
         self.stats.not_sent += 1;
-        self.note_failed(attempt, event::Reply::NotSent);
+        self.log_failed(attempt, event::Reply::NotSent);
         self.on_server_gone(attempt.server);
         self.refund(attempt);
-        self.note_failure(attempt.server);
+        self.record_failure(attempt.server);
         self.release(attempt.server);
         self.retry(attempt.query, attempt.shard_index, true, true);
     }
@@ -205,14 +205,14 @@
 
     fn on_lost(&mut self, attempt: query::Attempt, loss: event::Loss) {
         self.stats.lost += 1;
-        self.note_failed(attempt, event::Reply::Lost(loss));
+        self.log_failed(attempt, event::Reply::Lost(loss));
         if loss == event::Loss::Broken {
             self.record_loss(&attempt);
         }
         if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.may_have_run = true;
         }
-        self.note_failure(attempt.server);
+        self.record_failure(attempt.server);
         self.release(attempt.server);
         self.retry(attempt.query, attempt.shard_index, false, false);
     }
@@ -223,7 +223,7 @@
             return;
         };
         self.stats.lost += 1;
-        self.note_failed(attempt, event::Reply::Lost(event::Loss::Restarted));
+        self.log_failed(attempt, event::Reply::Lost(event::Loss::Restarted));
         if let Some(query) = self.queries.get_mut(attempt.query.0) {
             query.shards[attempt.shard_index as usize].remove_live(id);
             query.may_have_run = true;
@@ -232,7 +232,7 @@
         self.retry(attempt.query, attempt.shard_index, false, false);
     }
 
-    fn note_failure(&mut self, server: id::Server) {
+    fn record_failure(&mut self, server: id::Server) {
         let should_eject = self.servers[server.index()].on_failure(self.now, &self.policy);
         let is_ejected = self.servers[server.index()].is_ejected(self.now);
         if !should_eject || is_ejected {
@@ -247,14 +247,14 @@
         self.ejected += 1;
         self.stats.ejections += 1;
         let pause = self.servers[server.index()].ejected_until - self.now;
-        self.note(note::Note::Ejected { server: self.server_name(server), pause });
+        self.log(note::Note::Ejected { server: self.server_name(server), pause });
         self.requeue(server);
     }
 
     /// Handles a reply of another partition epoch. Shards of two epochs are never combined: an idempotent query
     /// restarts if the new epoch is already in force here. Otherwise the shard is retried, or the query fails if
     /// it may run only once.
-    fn on_epoch_mismatch(&mut self, id: id::Query, part: u32) {
+    fn on_epoch_mismatch(&mut self, id: id::Query, shard_index: u32) {
         let Some(query) = self.queries.get(id.0) else {
             return;
         };
@@ -273,7 +273,7 @@
             self.finish_unanswered(id, event::Code::Repartitioned, Some(RETRY_AFTER));
             return;
         }
-        self.retry(id, part, false, false);
+        self.retry(id, shard_index, false, false);
     }
 
     fn restart(&mut self, id: id::Query) {
@@ -282,13 +282,13 @@
         };
         query.restarts += 1;
         query.may_have_run = true;
-        let parts = std::mem::take(&mut query.shards);
+        let shards = std::mem::take(&mut query.shards);
         self.stats.restarts += 1;
-        for attempt in parts.iter().flat_map(|part| part.live).flatten() {
+        for attempt in shards.iter().flat_map(|shard| shard.live).flatten() {
             self.cancel(attempt);
         }
-        for part in 0..parts.len() as u32 {
-            if !self.spend(id, part, query::Kind::Retry) {
+        for shard_index in 0..shards.len() as u32 {
+            if !self.spend(id, shard_index, query::Kind::Retry) {
                 self.finish_unanswered(id, event::Code::Repartitioned, Some(RETRY_AFTER));
                 return;
             }
@@ -297,34 +297,34 @@
     }
 
     /// Marks a shard as failed. The query ends at once if the rest cannot meet the least coverage.
-    pub(super) fn fail_part(&mut self, id: id::Query, part: u32) {
+    pub(super) fn fail_shard(&mut self, id: id::Query, shard_index: u32) {
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        if query.is_forwarded && query.shards[part as usize].live_count() == 0 && self.gather_locally(id) {
+        if query.is_forwarded && query.shards[shard_index as usize].live_count() == 0 && self.gather_locally(id) {
             return;
         }
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
         };
-        let part_state = &mut query.shards[part as usize];
-        part_state.is_waiting = false;
-        if part_state.is_failed || part_state.has_reply() {
+        let shard = &mut query.shards[shard_index as usize];
+        shard.is_waiting = false;
+        if shard.is_failed || shard.has_reply() {
             self.settle(id);
             return;
         }
-        part_state.is_failed = true;
+        shard.is_failed = true;
         query.failed_shards += 1;
         let total = query.shards.len();
         let reachable = total - query.failed_shards;
-        let has_more_shards = query.is_canary && (part as usize) + 1 < total;
+        let has_more_shards = query.is_canary && (shard_index as usize) + 1 < total;
         if !query.selector().least_coverage.is_met(reachable, total) {
             let code = self.shortfall_code(id);
             self.finish_unanswered(id, code, Some(RETRY_AFTER));
             return;
         }
         if has_more_shards {
-            self.dispatch(id, part + 1, query::Kind::First);
+            self.dispatch(id, shard_index + 1, query::Kind::First);
             return;
         }
         self.settle(id);
@@ -335,12 +335,12 @@
         if saw_epoch { event::Code::Repartitioned } else { event::Code::InsufficientCoverage }
     }
 
-    /// Answers the query if it can be answered now, and requests shards again whose snapshots differ.
+    /// Answers the query if it can be answered now, and queries shards again whose snapshots differ.
     pub(super) fn settle(&mut self, id: id::Query) {
         let Some(query) = self.queries.get(id.0) else {
             return;
         };
-        if query.started.is_none() || query.is_placing {
+        if query.started.is_none() || query.is_dispatching {
             return;
         }
         let selector = query.selector();
@@ -359,7 +359,7 @@
             return;
         }
         if query.groups.len() > 1 && self.policy.reask {
-            self.reask(id);
+            self.requery(id);
         }
         let Some(query) = self.queries.get_mut(id.0) else {
             return;
@@ -375,9 +375,9 @@
         self.finish_unanswered(id, code, Some(RETRY_AFTER));
     }
 
-    /// Resolves replies of several snapshots: selects the snapshot that can cover most shards, and requests
+    /// Resolves replies of several snapshots: selects the snapshot that can cover most shards, and queries
     /// the shards that answered from another one again, at a replica that holds it.
-    fn reask(&mut self, id: id::Query) {
+    fn requery(&mut self, id: id::Query) {
         let Some(target) = self.most_reachable_snapshot(id) else {
             return;
         };
@@ -388,36 +388,36 @@
             query.want = Some(target);
             self.stats.mixed += 1;
         }
-        for part in 0..query.shards.len() as u32 {
-            let Some(server) = self.reask_server(id, part, target) else {
+        for shard_index in 0..query.shards.len() as u32 {
+            let Some(server) = self.requery_server(id, shard_index, target) else {
                 continue;
             };
-            if !self.has_room(server) {
+            if !self.has_capacity(server) {
                 continue;
             }
-            if !self.spend(id, part, query::Kind::Retry) {
+            if !self.spend(id, shard_index, query::Kind::Retry) {
                 return;
             }
-            self.send(id, part, server, query::Kind::Retry);
+            self.send(id, shard_index, server, query::Kind::Retry);
         }
     }
 
     /// A replica that holds `target`, if the shard answered from another snapshot and has no pending
     /// attempt.
-    fn reask_server(&self, id: id::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
+    fn requery_server(&self, id: id::Query, shard_index: u32, target: view::Snapshot) -> Option<id::Server> {
         let query = self.queries.get(id.0)?;
-        let part_state = query.shards[part as usize];
-        if !part_state.has_reply() || part_state.reply_of(target).is_some() || part_state.is_pending() {
+        let shard = query.shards[shard_index as usize];
+        if !shard.has_reply() || shard.reply_of(target).is_some() || shard.is_pending() {
             return None;
         }
-        if part_state.tries >= self.policy.attempts_per_shard {
+        if shard.tries >= self.policy.attempts_per_shard {
             return None;
         }
-        self.find_holder(query, part, target)
+        self.find_holder(query, shard_index, target)
     }
 
-    fn find_holder(&self, query: &query::Query, part: u32, target: view::Snapshot) -> Option<id::Server> {
-        let replicas = &query.target(part).replicas;
+    fn find_holder(&self, query: &query::Query, shard_index: u32, target: view::Snapshot) -> Option<id::Server> {
+        let replicas = &query.target(shard_index).replicas;
         let mut holders = replicas.iter().copied().filter(|&id| {
             self.is_open(id)
                 && self.is_in_home_region(&query.selector().name, id)
@@ -433,12 +433,12 @@
         let mut best: Option<(usize, usize, view::Snapshot)> = None;
         for group in &query.groups {
             let mut shard_count = group.shard_count;
-            for (part, part_state) in query.shards.iter().enumerate() {
-                if part_state.reply_of(group.snapshot).is_some() {
+            for (shard_index, shard) in query.shards.iter().enumerate() {
+                if shard.reply_of(group.snapshot).is_some() {
                     continue;
                 }
                 let is_attainable =
-                    part_state.is_pending() || self.find_holder(query, part as u32, group.snapshot).is_some();
+                    shard.is_pending() || self.find_holder(query, shard_index as u32, group.snapshot).is_some();
                 shard_count += usize::from(is_attainable);
             }
             let candidate = (shard_count, group.shard_count, group.snapshot);
--- a/crates/core/src/traffic/hedge.rs
+++ b/crates/core/src/traffic/hedge.rs
@@ -27,9 +27,9 @@
         if query.is_forwarded {
             return self.relay_delay(class);
         }
-        let aim = query.selector().target_latency;
+        let target_latency = query.selector().target_latency;
         let quantile = self.classes[class].attempt_times.quantile(self.policy.hedge_quantile);
-        let latest = aim.map_or(clock::Millis::MAX, |aim| clock::Millis(aim.0 / 2));
+        let latest = target_latency.map_or(clock::Millis::MAX, |target| clock::Millis(target.0 / 2));
         quantile.unwrap_or(DEFAULT_DELAY).min(latest).max(self.policy.hedge_floor)
     }
 
@@ -97,7 +97,7 @@
         let pause = self.servers[server.index()].mark_silent(self.now, pause);
         if let Some(pause) = pause {
             let silent_for = self.now.since(sent);
-            self.note(note::Note::Silent { server: self.server_name(server), silent_for, pause });
+            self.log(note::Note::Silent { server: self.server_name(server), silent_for, pause });
         }
     }
 
@@ -125,13 +125,13 @@
         if state.was_tried(server) || state.live_count() == query::MAX_LIVE {
             return true;
         }
-        if !self.has_room(server) || self.servers[server.index()].waiting_len() > 0 {
+        if !self.has_capacity(server) || self.servers[server.index()].waiting_len() > 0 {
             return false;
         }
         if !self.spend(query, shard_index, query::Kind::Hedge) {
             return false;
         }
-        self.note_extra(query, shard_index, server, note::Cause::Silence);
+        self.log_extra(query, shard_index, server, note::Cause::Silence);
         self.send(query, shard_index, server, query::Kind::Hedge);
         true
     }
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -5,9 +5,9 @@
 //! must execute them. Views at the head of the batch are applied before the timers. One core serves
 //! one traffic thread and shares no state with others.
 //!
-//! Each system has its own module: [`admit`] (limits and refusals), [`choose`] (replica selection),
-//! [`dispatch`] (sending, per-server queues, retries), [`warm_up`] (servers that have just started),
-//! [`suspect`] (requests that crash servers), [`hedge`] (silent attempts) and [`gather`] (snapshots,
+//! Each system has its own module: `admit` (limits and refusals), `choose` (replica selection),
+//! `dispatch` (sending, per-server queues, retries), [`warm_up`] (servers that have just started),
+//! `suspect` (requests that crash servers), `hedge` (silent attempts) and `gather` (snapshots,
 //! coverage, answers).
 
 mod admit;
@@ -53,8 +53,8 @@
 }
 
 impl Lane {
-    /// This lane's part of a host's `share` of the connections to `server`. The remainder rotates
-    /// with the server's index, so that no lane always gets the smaller part.
+    /// This lane's portion of a host's `share` of the connections to `server`. The remainder rotates
+    /// with the server's index, so that no lane always gets the smaller portion.
     fn connection_share(self, share: u32, server: id::Server) -> u32 {
         let count = self.count.max(1);
         let offset = (self.index + server.0) % count;
@@ -207,7 +207,7 @@
                 expired.push(id::Query(key));
             }
         }
-        self.note(note::Note::Paused { gap, expired: expired.len() });
+        self.log(note::Note::Paused { gap, expired: expired.len() });
         for query in expired {
             self.on_deadline(query);
         }
@@ -221,8 +221,8 @@
                 Timer::Deadline(query) => self.on_deadline(query),
                 Timer::Settle(query) => self.settle(query),
                 Timer::Hedge(query) => self.hedge(query),
-                Timer::Retry(query, part) => self.on_backoff_end(query, part),
-                Timer::Pump(server) => self.send_waiting(server),
+                Timer::Retry(query, shard_index) => self.on_backoff_end(query, shard_index),
+                Timer::SendWaiting(server) => self.send_waiting(server),
                 Timer::ConnectionClosed(server) => self.release(server),
                 Timer::TrialTimeout(query) => self.on_trial_timeout(query),
                 Timer::Probe(server) => self.send_probe(server),
@@ -240,7 +240,7 @@
             Input::HangUp(caller) => self.on_hang_up(caller),
             Input::Revalidated => self.on_revalidated(),
             Input::Suspects(suspects) => self.on_suspects(suspects),
-            Input::Granted(trial) => self.on_granted(trial),
+            Input::TrialGranted(trial) => self.on_trial_granted(trial),
             Input::Probed { server, liveness } => self.on_probed(server, liveness),
             Input::Tick => {}
         }
@@ -255,8 +255,8 @@
         }
         self.clear_replaced(&view);
         self.view = view;
-        let equal_part = 1.0 / f64::from(self.view.hosts.max(1));
-        self.fleet.set_shares(self.now, equal_part, &self.view.limit_shares, self.lane.count.max(1));
+        let equal_share = 1.0 / f64::from(self.view.hosts.max(1));
+        self.fleet.set_limit_shares(self.now, equal_share, &self.view.limit_shares, self.lane.count.max(1));
         self.servers.resize_with(self.view.servers.len().max(self.servers.len()), Default::default);
         let mut restarted = Vec::new();
         for index in 0..self.servers.len() {
@@ -271,11 +271,11 @@
         let servers = self.view.servers.iter().flatten().count();
         let leaving = self.view.servers.iter().flatten().filter(|server| server.leaving).count();
         let evacuated = self.view.servers.iter().flatten().filter(|server| server.evacuated).count();
-        self.note(note::Note::View { servers, leaving, evacuated });
+        self.log(note::Note::View { servers, leaving, evacuated });
     }
 
-    /// Clears `is_replaced` for servers whose address in `view` differs from the one in the current view, or that `view`
-    /// no longer lists. A misdirected reply applies only to the address that it came from.
+    /// Clears `is_replaced` for servers whose address in `view` differs from the one in the current view, or that
+    /// `view` no longer lists. A misdirected reply applies only to the address that it came from.
     fn clear_replaced(&mut self, view: &view::View) {
         for (index, state) in self.servers.iter_mut().enumerate() {
             let server = id::Server(index as u32);
@@ -290,7 +290,7 @@
 
     /// Updates a server's state from the view in force. Returns `true` if the server has restarted.
     fn refresh_server(&mut self, id: id::Server) -> bool {
-        self.note_restart(id);
+        self.report_if_ended(id);
         let state = &mut self.servers[id.index()];
         let Some(published) = self.view.server(id) else {
             state.share = 0;
@@ -328,10 +328,10 @@
     }
 
     /// Attributes the end of a server that left the view or restarted to the requests recently lost there, if any.
-    fn note_restart(&mut self, id: id::Server) {
+    fn report_if_ended(&mut self, id: id::Server) {
         let before = self.servers[id.index()].incarnation;
-        let is_over = self.view.server(id).is_none_or(|published| published.incarnation != before);
-        if is_over {
+        let has_ended = self.view.server(id).is_none_or(|published| published.incarnation != before);
+        if has_ended {
             let name = self.server_name(id);
             let name = if name.is_empty() { compact_str::format_compact!("{id}") } else { name };
             self.report_crash(id, &name, before);
@@ -369,7 +369,7 @@
         self.resume();
     }
 
-    fn note(&mut self, note: note::Note) {
+    fn log(&mut self, note: note::Note) {
         self.outputs.push(Output::Note(note));
     }
 
--- a/crates/core/src/traffic/query.rs
+++ b/crates/core/src/traffic/query.rs
@@ -117,7 +117,7 @@
     /// Not a trial.
     #[default]
     None,
-    /// Waits for control to grant the trial.
+    /// Waits for the control core to grant the trial.
     Requested,
     /// A granted trial.
     Granted,
@@ -158,8 +158,8 @@
     pub(crate) groups: Vec<Group>,
     pub(crate) want: Option<view::Snapshot>,
     pub(crate) failed_shards: usize,
-    /// Whether its first attempts are still being placed; meanwhile it does not end for lack of pending shards.
-    pub(crate) is_placing: bool,
+    /// Whether its first attempts are still being dispatched; until then it does not end for lack of pending shards.
+    pub(crate) is_dispatching: bool,
     /// Index of the shard that was pending at the last check.
     pub(crate) pending_hint: usize,
     /// Whether any attempt may have run.
--- a/crates/core/src/traffic/server.rs
+++ b/crates/core/src/traffic/server.rs
@@ -13,10 +13,10 @@
 /// Upper bound of one slowness sample, so that a single stall does not exclude a server for long.
 const MAX_SLOWNESS: f64 = 20.0;
 /// Time in which old samples lose half of their weight, in ms. An avoided server yields no samples, so without
-/// the decay it would be avoided for ever.
+/// the decay it would be avoided forever.
 const SAMPLE_HALF_LIFE: f64 = 3000.0;
-/// Factor by which the expected latency grows if every attempt fails: the attempt is lost, another one must be
-/// paid for, and most of the caller's timeout may be used up.
+/// Factor by which the expected latency grows if every attempt fails: the attempt is lost, another one needs a
+/// budget token, and most of the caller's timeout may be used up.
 const FAILURE_PENALTY: f64 = 8.0;
 /// Initial concurrency limit of a cold server, also the lower bound; grows by one with each success.
 const COLD_LIMIT: f64 = 1.0;
@@ -258,22 +258,22 @@
         now: clock::Millis,
         took: clock::Millis,
         median: clock::Millis,
-        part: &event::Part,
+        answer: &event::Part,
     ) {
         self.add_sample(now, Some(ratio(took, median)), 0.0);
         self.answers += 1;
         self.consecutive_failures = 0;
         self.consecutive_ejections = 0;
         self.ejected_until = clock::Millis::ZERO;
-        self.adapt_limit(now, median, part.queue);
-        if let Some(load) = part.load {
+        self.adapt_limit(now, median, answer.queue);
+        if let Some(load) = answer.load {
             self.load = f64::from(load);
             self.load_at = now;
         }
     }
 
     /// Cuts the limit of a server whose queue is longer than the number of requests it runs concurrently:
-    /// requests in its queue wait behind all hosts' requests, those queued here go by priority.
+    /// requests in its queue wait behind those of all hosts, requests queued here are sent by priority.
     fn adapt_limit(&mut self, now: clock::Millis, median: clock::Millis, queue: Option<u32>) {
         let queue = queue.unwrap_or_default();
         if queue == 0 {
--- a/crates/core/src/traffic/suspect.rs
+++ b/crates/core/src/traffic/suspect.rs
@@ -2,15 +2,15 @@
 //!
 //! A broken attempt proves nothing, since connections are reset and servers drained. But if no connection to
 //! its server can be opened within moments, or the server is gone or has restarted, the server died while it
-//! ran the request. Every request that was lost there is reported to control; the innocent ones are soon
+//! ran the request. Every request that was lost there is reported to the control core; the harmless ones are soon
 //! answered by another server, which is reported too.
 //!
 //! Shortly after a loss, the core opens a new connection to the server without sending a request: without other
 //! traffic to the server, nothing would show whether it died.
 //!
-//! A suspected request is sent once control grants it a trial: to one server, and a gather to one shard before
-//! it fans out. Queued shards are not sent any more when their request becomes a suspect. Running ones
-//! continue, but go to no second server after a loss, and end when their request is held.
+//! A suspected request is sent once the control core grants it a trial: to one server, and a gather to one shard
+//! before it fans out. When a request becomes a suspect, its queued shards are not sent any more. Its running ones
+//! continue, but are sent to no second server after a loss, and end when the request is held.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 pub(crate) type Suspects = Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>;
 
 /// Time after a loss in which the death of the server is attributed to it, in ms: the server's registry entry
-/// may lapse some seconds later. A live server replies sooner.
+/// may expire some seconds later. A live server replies sooner.
 const CRASH_WINDOW: clock::Millis = clock::Millis(6000);
 /// Delay between a loss and the connection probe, in ms. A dying process may close its listener last.
 const PROBE_DELAY: clock::Millis = clock::Millis(10);
@@ -172,7 +172,7 @@
         query.fingerprint.is_some_and(|fingerprint| self.suspects.contains_key(&fingerprint))
     }
 
-    /// Requests a trial for `query` from control.
+    /// Requests a trial for `query` from the control core.
     pub(super) fn request_trial(&mut self, query: id::Query) {
         let Some((fingerprint, attempt)) =
             self.queries.get(query.0).and_then(|row| Some((row.fingerprint?, row.caller_attempt)))
@@ -186,8 +186,8 @@
         self.outputs.push(event::Output::RequestTrial(suspect::Trial { fingerprint, attempt }));
     }
 
-    /// Handles a trial granted by control: starts its query, if it still waits.
-    pub(super) fn on_granted(&mut self, trial: suspect::Trial) {
+    /// Handles a trial granted by the control core: starts its query, if it still waits.
+    pub(super) fn on_trial_granted(&mut self, trial: suspect::Trial) {
         let Some(&query) = self.trials.get(&trial.fingerprint) else {
             return;
         };
@@ -254,7 +254,7 @@
     }
 
     /// Logs an attempt of `query` at `server` if its request is suspected.
-    pub(super) fn note_suspect(&mut self, query: id::Query, shard_index: u32, server: id::Server) {
+    pub(super) fn log_suspect(&mut self, query: id::Query, shard_index: u32, server: id::Server) {
         let Some(row) = self.queries.get(query.0) else {
             return;
         };
@@ -264,10 +264,10 @@
         let is_trial = row.trial == query::Trial::Granted;
         let (caller, shard) = (row.caller, row.target(shard_index).shard.clone());
         let server = self.server_name(server);
-        self.note(note::Note::Suspect { caller, fingerprint, shard, server, is_trial });
+        self.log(note::Note::Suspect { caller, fingerprint, shard, server, is_trial });
     }
 
-    /// Records a broken attempt, since its server may have died of it, and schedules a probe.
+    /// Records a broken attempt, since it may have crashed its server, and schedules a probe.
     pub(super) fn record_loss(&mut self, attempt: &query::Attempt) {
         let Some(query) = self.queries.get(attempt.query.0).filter(|_| !attempt.is_relay) else {
             return;
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Records an attempt that was cancelled without a reply, since its server may still run it and die. Most
+    /// Records an attempt that was cancelled without a reply, since its server may still run it and crash. Most
     /// servers drop cancelled work, so this schedules no probe.
     pub(super) fn record_abandoned(&mut self, query: &query::Query, attempt: id::Attempt) {
         let Some(server) = self.attempts.get(attempt.0).filter(|row| !row.is_relay).map(|row| row.server) else {
@@ -332,8 +332,8 @@
     }
 
     pub(super) fn on_probe_timeout(&mut self, server: id::Server) {
-        let is_over = |at: clock::Millis| self.now.since(at) >= PROBE_TIMEOUT;
-        if matches!(self.servers[server.index()].probe, Probe::Sent(at) if is_over(at)) {
+        let is_timed_out = |at: clock::Millis| self.now.since(at) >= PROBE_TIMEOUT;
+        if matches!(self.servers[server.index()].probe, Probe::Sent(at) if is_timed_out(at)) {
             self.on_probed(server, event::Liveness::Unknown);
         }
     }
@@ -352,7 +352,7 @@
                 continue;
             }
             let Loss { fingerprint, attempt, .. } = loss;
-            // A server that reports no incarnation may die again under its name.
+            // A server that reports no incarnation may crash again under the same name.
             let server = match incarnation {
                 0 => compact_str::format_compact!("{name}#{attempt:016x}"),
                 _ => compact_str::format_compact!("{name}@{incarnation}"),
--- a/crates/core/src/traffic/timer.rs
+++ b/crates/core/src/traffic/timer.rs
@@ -19,7 +19,7 @@
     /// Retry a shard of the query.
     Retry(id::Query, u32),
     /// Send the work queued for the server.
-    Pump(id::Server),
+    SendWaiting(id::Server),
     /// Release the connection of a cancelled attempt, which the server has closed by now.
     ConnectionClosed(id::Server),
     /// End the query if the trial that it requested was not granted.
--- a/crates/core/src/traffic/warm_up.rs
+++ b/crates/core/src/traffic/warm_up.rs
@@ -1,5 +1,5 @@
-//! Warm-up of servers: limits what each host sends, so that all hosts together stay within a cold server's
-//! rate.
+//! Warm-up of servers: limits what each host sends, so that all hosts together stay within the rate of a
+//! cold server.
 //!
 //! A server that has just started crashes under a load that a warm one handles easily, and when the servers of
 //! a data centre return together, each host would send each of them its first requests at the same moment. No
@@ -18,8 +18,8 @@
 
 use crate::{clock, rendezvous, view};
 
-/// Minimum time between two requests of a host, in ms. Keeps two requests out of any one second even if the
-/// first one's connection took 250 ms to open, the longest that a host waits for it.
+/// Minimum time between two requests of a host, in ms. Prevents two requests within one second even if
+/// the first one's connection took 250 ms to open, the longest that a host waits for it.
 const MIN_PAUSE: f64 = 1250.0;
 /// Fraction of the slack that is used. The rest covers moments in which hosts know different members.
 const SLACK_FRACTION: f64 = 0.5;
@@ -45,8 +45,8 @@
     if count == 0 || rank >= count || !senders.iter().any(|other| other == host) {
         return None;
     }
-    // With so few hosts that each may send several requests a second, one less than its share: the window may
-    // begin with one.
+    // If there are so few hosts that each may send several requests a second, it sends one less than its share,
+    // because the window may begin with one.
     let per_host = ((bound / count as f64) as u64).saturating_sub(1).max(1);
     let pause = (count as f64 * 1000.0 / rate).max(MIN_PAUSE / per_host as f64);
     Some(clock::Millis(pause.ceil() as u64))
--- a/crates/core/src/traffic/why.rs
+++ b/crates/core/src/traffic/why.rs
@@ -45,7 +45,7 @@
         wait: clock::Millis,
         /// Median run time.
         run: clock::Millis,
-        /// Time left until the deadline.
+        /// Remaining time until the deadline.
         remaining: clock::Millis,
     },
     /// The servers have too little capacity for an answer in time.
@@ -54,7 +54,7 @@
         wait: clock::Millis,
         /// 80th percentile of attempt times.
         attempt: clock::Millis,
-        /// Time left until the answer is due.
+        /// Remaining time until the answer is due.
         remaining: clock::Millis,
     },
     /// The caller's timeout is too short.
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -189,7 +189,7 @@
         /// Maximum number of records.
         top: u32,
     },
-    /// One server's answer, passed on unchanged.
+    /// One server's answer, forwarded unchanged.
     Whole,
 }
 
@@ -260,7 +260,7 @@
     pub routes: route::Table,
     /// Limits on callers, if the configuration sets them.
     pub limits: Option<route::Limits>,
-    /// The operators' number of the configuration, for logs; 0 if it has none besides the stamp.
+    /// The operators' number of the configuration, for logs; 0 if only the stamp identifies it.
     pub number: u64,
     /// This host's share of fleet-wide limits, from 0 to 1, by [`id::Service`]. Services that are not
     /// listed are shared equally by all hosts.
@@ -269,7 +269,7 @@
     pub servers: Vec<Option<Server>>,
     /// Data centres whose servers get no new work until operators revoke the evacuation.
     pub evacuated: IndexSet<CompactString>,
-    /// This host's name; empty if the documents suffice without it.
+    /// This host's name; empty if the view was compiled from documents alone.
     pub host: CompactString,
     /// Hosts that may send requests to servers that warm up, by service; equal on all hosts with the same membership
     /// list. Empty on a host whose membership list may be incomplete.
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -1,7 +1,7 @@
 //! Quantiles of the most recent samples.
 //!
 //! Decisions depend on recent latencies, which a histogram over all time would hide behind old samples.
-//! The window keeps the last [`SIZE`] samples and sorts a copy every [`REFRESH_INTERVAL`] samples, so
+//! The window keeps the last `SIZE` samples and sorts a copy every `REFRESH_INTERVAL` samples, so
 //! that reading a quantile is an array look-up.
 
 use crate::clock;
--- a/crates/core/tests/driver/world.rs
+++ b/crates/core/tests/driver/world.rs
@@ -451,7 +451,7 @@
             control::Output::View(view) => self.on_view(host, life, view),
             control::Output::Revalidated => self.traffic(host, [event::Input::Revalidated]),
             control::Output::Suspects(suspects) => self.traffic(host, [event::Input::Suspects(suspects)]),
-            control::Output::TrialGranted(trial) => self.traffic(host, [event::Input::Granted(trial)]),
+            control::Output::TrialGranted(trial) => self.traffic(host, [event::Input::TrialGranted(trial)]),
             control::Output::Refused { stamp, .. } => {
                 self.judge.breach("accepted", format!("host {host} refused {stamp}"));
             }
--- a/crates/core/tests/held.rs
+++ b/crates/core/tests/held.rs
@@ -201,7 +201,7 @@
     assert_eq!(answers(&host.ask(2)), refused);
     // That a trial was granted is told before to whom.
     assert!(answers(&host.set(held(2000))).is_empty());
-    let attempts = sent(&host.step(event::Input::Granted(trial)));
+    let attempts = sent(&host.step(event::Input::TrialGranted(trial)));
     assert_eq!(attempts.len(), 1);
     assert_eq!(answers(&host.ask(3)), refused);
     let outputs = host.reply(attempts[0], event::Reply::Refused { retry_after: None });
@@ -215,7 +215,7 @@
     let mut host = Host::new(view(3, 8));
     host.set(held(1));
     let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
-    let attempts = sent(&host.step(event::Input::Granted(trial)));
+    let attempts = sent(&host.step(event::Input::TrialGranted(trial)));
     let outputs = host.reply(attempts[0], answered());
     assert!(outputs.iter().any(|output| matches!(output, event::Output::Cleared(ASKED))));
     let attempts = sent(&outputs);
@@ -234,7 +234,7 @@
     let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
     let outputs = host.wait(100);
     assert_eq!(answers(&outputs), [(event::Outcome::NotRun, event::Code::CrashesServers)]);
-    assert!(sent(&host.step(event::Input::Granted(trial))).is_empty());
+    assert!(sent(&host.step(event::Input::TrialGranted(trial))).is_empty());
 }
 
 /// No server of a trial could be reached: it is told, so that it does not count.
@@ -243,7 +243,7 @@
     let mut host = Host::new(view(1, 8));
     host.set(held(1));
     let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
-    let mut outputs = host.step(event::Input::Granted(trial));
+    let mut outputs = host.step(event::Input::TrialGranted(trial));
     while host.now < one_leaf::DEADLINE.0 + 100 {
         if outputs.iter().any(|output| matches!(output, event::Output::TrialUnused(unused) if *unused == trial)) {
             return;
@@ -321,7 +321,7 @@
     let mut host = Host::new(view(1, 8));
     host.set(Some(Standing::Suspect { trial_at: clock::Millis(1) }));
     let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
-    let attempts = sent(&host.step(event::Input::Granted(trial)));
+    let attempts = sent(&host.step(event::Input::TrialGranted(trial)));
     let outputs = host.reply(attempts[0], event::Reply::Failed);
     assert!(!outputs.iter().any(|output| matches!(output, event::Output::Cleared(_))), "{outputs:?}");
 }
--- a/crates/core/tests/killers.rs
+++ b/crates/core/tests/killers.rs
@@ -172,7 +172,7 @@
                         self.tables.iter_mut().for_each(|table| {
                             table.merge(now, &told);
                         });
-                        inputs.push(event::Input::Granted(trial));
+                        inputs.push(event::Input::TrialGranted(trial));
                     }
                     event::Output::TrialUnused(trial) => {
                         self.tables[host].cancel_trial(now, trial);
@@ -358,7 +358,7 @@
         event::Output::RequestTrial(trial) => Some(*trial),
         _ => None,
     });
-    core.step(clock::Millis(3), [event::Input::Granted(asked.expect("it asks for a trial"))])
+    core.step(clock::Millis(3), [event::Input::TrialGranted(asked.expect("it asks for a trial"))])
 }
 
 /// What is suspected goes to no second server after a loss, and its caller hears at once that nobody knows.
--- a/crates/core/tests/registry/crashing.rs
+++ b/crates/core/tests/registry/crashing.rs
@@ -326,7 +326,7 @@
                 self.step(host, event::Input::Suspects(Arc::clone(&self.told[host])));
             }
             for trial in std::mem::take(&mut self.fleet.hosts[host].granted) {
-                self.step(host, event::Input::Granted(trial));
+                self.step(host, event::Input::TrialGranted(trial));
             }
             let is_due = self.traffic[host].next_timer().is_some_and(|at| at.0 <= self.now);
             if is_due || self.now - self.stepped[host] >= 200 {
--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -18,7 +18,7 @@
 
 /// How the hosts' documents are read.
 pub const READER: control::Reader =
-    control::Reader { source: control::Source::Registry { kind_of, essence }, manifest, part };
+    control::Reader { source: control::Source::Registry { kind_of, normalize: essence }, manifest, part };
 
 /// What the keys of evacuations begin with; a data centre follows.
 const EVACUATE: &str = "evacuate/";
--- a/crates/core/tests/spread.rs
+++ b/crates/core/tests/spread.rs
@@ -210,7 +210,7 @@
     assert_ne!(parted[0].digest, parted[1].digest);
     // What each half has, as one message that was on its way for long.
     let mut whole = |host: usize| {
-        let ask = message::Ask { kind: catalog::Kind::Config, have: Vec::new(), base: None };
+        let ask = message::Request { kind: catalog::Kind::Config, have: Vec::new(), base: None };
         let body = message::Body::Ask(ask);
         let message = message::Message { protocol: message::PROTOCOL, from: mesh::peer(host ^ 1), body };
         let outputs = mesh.hosts[host].core.step(mesh.now, [control::Input::Peer(message)]);
--- a/crates/node/src/lane/mod.rs
+++ b/crates/node/src/lane/mod.rs
@@ -64,7 +64,7 @@
         match word {
             shared::ToLane::View(view) => shell.step([traffic::event::Input::View(view)]),
             shared::ToLane::Suspects(suspects) => shell.step([traffic::event::Input::Suspects(suspects)]),
-            shared::ToLane::Granted(trial) => shell.step([traffic::event::Input::Granted(trial)]),
+            shared::ToLane::Granted(trial) => shell.step([traffic::event::Input::TrialGranted(trial)]),
             shared::ToLane::Revalidated => shell.step([traffic::event::Input::Revalidated]),
             shared::ToLane::Explain(query, reply) => {
                 // The asker may have gone; then nobody needs the answer.
--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -32,7 +32,7 @@
         });
     let ask = proptest::collection::vec(any::<u64>(), 0..20).prop_map(|have| {
         let have = have.into_iter().map(catalog::Digest).collect();
-        message::Body::Ask(message::Ask { kind: catalog::Kind::Hosts, have, base: None })
+        message::Body::Ask(message::Request { kind: catalog::Kind::Hosts, have, base: None })
     });
     let update = (any::<u64>(), proptest::option::of(stamp()), ".{0,40}").prop_map(|(version, base, text)| {
         let part = message::Part { key: "k".into(), digest: catalog::Digest::of(&text), text: Some(text.into()) };
@@ -55,7 +55,7 @@
             let (fingerprint, server) = (trial.fingerprint, server.into());
             table.record_crash(clock::Millis(1), &suspect::Crash { fingerprint, attempt, server });
         }
-        let trial = Box::new(message::Trial { trial, row: table.record(clock::Millis(2), trial.fingerprint) });
+        let trial = Box::new(message::Trial { trial, record: table.record(clock::Millis(2), trial.fingerprint) });
         if is_granted { message::Body::GrantTrial(trial) } else { message::Body::AskTrial(trial) }
     });
     prop_oneof![digest, ask, update, trial]
