--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: they ask on kept connections, and check each answer against what it must be.
+//! Clients that send requests on persistent connections and check each response.
 
 use std::{net, time::Duration};
 
@@ -14,24 +14,24 @@
 
 use crate::deployment;
 
-/// Longest wait for an answer; beyond any that a node may take.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// Time that a client names with its requests, in ms.
-pub const LEFT_MS: u64 = 1500;
+/// Maximum wait for a response; longer than a node may ever take.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Deadline that a client sends with each request, in ms.
+pub const DEADLINE_MS: u64 = 1500;
 
-/// What kind of request it is.
+/// Kind of a request, which selects its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// To all shards.
+    /// Scattered to all shards, with merged results.
     Gather,
-    /// To one leaf, repeatable.
+    /// Sent to one leaf; idempotent.
     Read,
-    /// To one leaf, at most once.
+    /// Sent to one leaf, at most once.
     Write,
 }
 
 impl Kind {
-    /// The name of its route.
+    /// Returns the name of the route for this kind.
     pub fn route(self) -> &'static str {
         match self {
             Self::Gather => "gather",
@@ -41,29 +41,29 @@
     }
 }
 
-/// What came of a request.
+/// Outcome of a request, as the client observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// A success.
+pub enum Outcome {
+    /// A correct response with a success status.
     Served {
-        /// The services whose parts are in it.
+        /// Services whose parts are in the response.
         services: Vec<CompactString>,
-        /// Shards that are said to be left out.
+        /// Number of shards reported as missing.
         missing: usize,
     },
-    /// An answer of this status, without success.
-    Told(u16),
-    /// The connection ended before a complete answer.
+    /// A complete response with this non-success status.
+    Status(u16),
+    /// The connection closed before a complete response.
     Cut,
-    /// No connection could be had.
+    /// No connection could be opened.
     NoConnection,
-    /// Nothing came.
+    /// No response within the time-out.
     Silence,
-    /// An answer that must not be.
+    /// An incorrect response, with a description of the fault.
     Wrong(String),
 }
 
-/// A kept connection.
+/// A client with one persistent connection.
 #[derive(Debug)]
 pub struct Client {
     address: net::SocketAddr,
@@ -71,25 +71,25 @@
 }
 
 impl Client {
-    /// A client of the node at `address`; it connects when it asks.
+    /// Creates a client of the node at `address`, which connects on its first request.
     pub fn new(address: net::SocketAddr) -> Self {
         Self { address, sender: None }
     }
 
-    /// Asks once. `name` must be new for each request.
-    pub async fn ask(&mut self, kind: Kind, name: &str) -> End {
-        let (shown, end) = self.ask_shown(kind, name).await;
-        drop(shown);
-        end
+    /// Sends one request. `name` must be unique to each request.
+    pub async fn send(&mut self, kind: Kind, name: &str) -> Outcome {
+        let (head, outcome) = self.send_for_head(kind, name).await;
+        drop(head);
+        outcome
     }
 
-    /// Asks once, and also gives the head of the answer.
-    pub async fn ask_shown(&mut self, kind: Kind, name: &str) -> (Option<http::response::Parts>, End) {
+    /// Sends one request, and also returns the head of the response.
+    pub async fn send_for_head(&mut self, kind: Kind, name: &str) -> (Option<http::response::Parts>, Outcome) {
         let mut sender = match self.sender.take() {
             Some(sender) if !sender.is_closed() => sender,
             _ => match connect(self.address).await {
                 Some(sender) => sender,
-                None => return (None, End::NoConnection),
+                None => return (None, Outcome::NoConnection),
             },
         };
         let mut request = http::Request::new(Full::new(match kind {
@@ -100,22 +100,22 @@
         if let Ok(uri) = format!("/{}/{name}", kind.route()).parse() {
             *request.uri_mut() = uri;
         }
-        *request.headers_mut() = opposite::request_headers(deployment::HOST, name, LEFT_MS);
+        *request.headers_mut() = opposite::request_headers(deployment::HOST, name, DEADLINE_MS);
         if sender.ready().await.is_err() {
-            return (None, End::Cut);
+            return (None, Outcome::Cut);
         }
-        let response = match timeout(PATIENCE, sender.send_request(request)).await {
-            Err(_) => return (None, End::Silence),
-            Ok(Err(_)) => return (None, End::Cut),
+        let response = match timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await {
+            Err(_) => return (None, Outcome::Silence),
+            Ok(Err(_)) => return (None, Outcome::Cut),
             Ok(Ok(response)) => response,
         };
         let (head, body) = response.into_parts();
-        let Ok(Ok(body)) = timeout(PATIENCE, body.collect()).await else {
-            return (Some(head), End::Cut);
+        let Ok(Ok(body)) = timeout(RESPONSE_TIMEOUT, body.collect()).await else {
+            return (Some(head), Outcome::Cut);
         };
         self.sender = Some(sender);
-        let end = check(kind, name, &head, &body.to_bytes());
-        (Some(head), end)
+        let outcome = check(kind, name, &head, &body.to_bytes());
+        (Some(head), outcome)
     }
 }
 
@@ -129,64 +129,64 @@
     Some(sender)
 }
 
-/// The status of a page of a node.
-pub async fn get(address: net::SocketAddr, path: &str) -> Option<u16> {
+/// Fetches `path` from a node; returns the status, or `None` on failure.
+pub async fn get_status(address: net::SocketAddr, path: &str) -> Option<u16> {
     page(address, path).await.map(|(status, _)| status)
 }
 
-/// A page of a node.
+/// Fetches `path` from a node; returns status and body, or `None` on failure.
 pub async fn page(address: net::SocketAddr, path: &str) -> Option<(u16, Bytes)> {
     let mut sender = connect(address).await?;
     let request = http::Request::get(path).header("host", "node").body(Full::new(Bytes::new())).ok()?;
-    let response = timeout(PATIENCE, sender.send_request(request)).await.ok()?.ok()?;
+    let response = timeout(RESPONSE_TIMEOUT, sender.send_request(request)).await.ok()?.ok()?;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.ok()?;
     Some((status, body.to_bytes()))
 }
 
-/// Holds an answer against what it must be.
-fn check(kind: Kind, name: &str, head: &http::response::Parts, body: &Bytes) -> End {
-    let got = opposite::Got::read(&head.headers);
+/// Compares a response with the expected one.
+fn check(kind: Kind, name: &str, head: &http::response::Parts, body: &Bytes) -> Outcome {
+    let headers = opposite::Got::read(&head.headers);
     if !head.status.is_success() {
-        return match &got.signature {
-            Some(signature) if replica::signed(signature).is_none_or(|(request, _)| request != name) => {
-                End::Wrong(format!("a failure signed {signature}"))
+        return match &headers.signature {
+            Some(signature) if replica::parse_signature(signature).is_none_or(|(request, _)| request != name) => {
+                Outcome::Wrong(format!("a failure signed {signature}"))
             }
-            _ => End::Told(head.status.as_u16()),
+            _ => Outcome::Status(head.status.as_u16()),
         };
     }
     match kind {
-        Kind::Gather => check_merged(name, &got, body),
-        Kind::Read | Kind::Write => check_whole(name, &got, body),
+        Kind::Gather => check_merged(name, &headers, body),
+        Kind::Read | Kind::Write => check_whole(name, &headers, body),
     }
 }
 
-fn check_whole(name: &str, got: &opposite::Got, body: &Bytes) -> End {
-    let Some((request, service)) = got.signature.as_deref().and_then(replica::signed) else {
-        return End::Wrong("a success without a signature".to_owned());
+fn check_whole(name: &str, headers: &opposite::Got, body: &Bytes) -> Outcome {
+    let Some((request, service)) = headers.signature.as_deref().and_then(replica::parse_signature) else {
+        return Outcome::Wrong("a success without a signature".to_owned());
     };
-    if request != name || *body != replica::whole(service, name).as_bytes() {
-        return End::Wrong(format!("the answer of {request} ({service}) with {} bytes", body.len()));
+    if request != name || *body != replica::whole_body(service, name).as_bytes() {
+        return Outcome::Wrong(format!("the answer of {request} ({service}) with {} bytes", body.len()));
     }
-    End::Served { services: vec![service.into()], missing: 0 }
+    Outcome::Served { services: vec![service.into()], missing: 0 }
 }
 
-fn check_merged(name: &str, got: &opposite::Got, body: &Bytes) -> End {
+fn check_merged(name: &str, headers: &opposite::Got, body: &Bytes) -> Outcome {
     let mut services: Vec<CompactString> = Vec::new();
     let mut parts = Vec::new();
-    for signature in &got.parts {
-        let Some((request, service)) = replica::signed(signature) else {
-            return End::Wrong(format!("a part signed {signature}"));
+    for signature in &headers.parts {
+        let Some((request, service)) = replica::parse_signature(signature) else {
+            return Outcome::Wrong(format!("a part signed {signature}"));
         };
         if request != name || services.iter().any(|other| other == service) {
-            return End::Wrong(format!("a part of {request} ({service}), or one that is there twice"));
+            return Outcome::Wrong(format!("a part of {request} ({service}), or one that is there twice"));
         }
         services.push(service.into());
         parts.push(replica::records(service, name));
     }
     let merged = merge::greatest(parts.iter().map(Vec::as_slice), 10);
     if services.is_empty() || *body != merged {
-        return End::Wrong(format!("{} parts, and a body that is not theirs", services.len()));
+        return Outcome::Wrong(format!("{} parts, and a body that is not theirs", services.len()));
     }
-    End::Served { services, missing: got.missing }
+    Outcome::Served { services, missing: headers.missing }
 }
--- a/crates/soak/src/deployment.rs
+++ b/crates/soak/src/deployment.rs
@@ -1,4 +1,4 @@
-//! Nodes as child processes, over stand-ins of the platform in this one.
+//! Nodes as child processes, with in-process test doubles of the platform.
 
 use std::{
     io::{BufRead, BufReader},
@@ -17,90 +17,91 @@
 
 use crate::proxy;
 
-/// How often something that must come is looked for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest wait for a node to be ready.
-const READY_MOST: Duration = Duration::from_secs(30);
-/// The host that clients name.
+/// Interval at which awaited conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum wait for a node to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Host name in the clients' requests.
 pub const HOST: &str = "soak.example";
 
-/// The size of a deployment.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Shards of the gather.
+    /// Number of shards behind the gather route.
     pub shards: usize,
-    /// Leafs of each shard.
+    /// Number of leafs of each shard.
     pub replicas: usize,
-    /// Whether every second leaf is in [`FAR`], the others and the nodes being in another data centre.
-    pub is_wide: bool,
+    /// Whether every second leaf is in [`FAR_DATA_CENTRE`], with the other leafs and the nodes in a second data centre.
+    pub has_two_data_centres: bool,
 }
 
-/// The data centre of every second leaf in a wide deployment.
-pub const FAR: &str = "there";
+/// Data centre of every second leaf when [`Size::has_two_data_centres`] is set.
+pub const FAR_DATA_CENTRE: &str = "there";
 
-/// A leaf with the proxy before it.
+/// A leaf and the proxy in front of it.
 #[derive(Debug)]
 pub struct Leaf {
-    /// Its entry.
+    /// Registry entry of the leaf.
     pub entry: plan::Leaf,
-    /// What runs.
+    /// The backend server itself.
     pub replica: Arc<replica::Replica>,
-    /// What stands before it.
+    /// Proxy between the nodes and the leaf.
     pub proxy: Arc<proxy::Proxy>,
-    /// Its own address, behind the proxy.
+    /// Address of the leaf itself, behind the proxy.
     pub address: net::SocketAddr,
-    /// Whether it crashed, so that it has no entry any more.
-    pub is_gone: bool,
+    /// Whether the leaf crashed and its entry was removed.
+    pub has_crashed: bool,
 }
 
-/// A node.
+/// A node process.
 #[derive(Debug)]
 pub struct Node {
-    /// Its name.
+    /// Host name in the node's settings.
     pub name: CompactString,
-    /// Where it serves callers.
+    /// Address for callers.
     pub listen: net::SocketAddr,
-    /// Where it tells whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready: net::SocketAddr,
-    /// Where it shows status and metrics.
+    /// Address of the status and metrics endpoints.
     pub admin: net::SocketAddr,
-    /// Where it hears other nodes.
+    /// Address for messages from other nodes.
     pub peer: net::SocketAddr,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: path::PathBuf,
-    /// The file of its log lines, without the first.
+    /// Path of the log file, which lacks the first line of the output.
     pub log: path::PathBuf,
     child: process::Child,
 }
 
-/// Everything together.
+/// The nodes, the leafs and the store of one run.
 #[derive(Debug)]
 pub struct Deployment {
-    /// The store.
+    /// The store of server entries and configuration.
     pub registry: Arc<registry::Registry>,
-    /// What stands before the store.
+    /// Proxy between the nodes and the store.
     pub registry_proxy: Arc<proxy::Proxy>,
-    /// The leafs.
+    /// All leafs ever started, including crashed and leaving ones.
     pub leafs: Vec<Leaf>,
-    /// The nodes.
+    /// The nodes, in order of their first start.
     pub nodes: Vec<Node>,
-    /// The configuration that was written last.
+    /// The configuration that was last written to the store.
     pub routing: plan::Routing,
     program: path::PathBuf,
     directory: path::PathBuf,
     size: Size,
-    started: usize,
-    /// Extra lines for the nodes' settings.
-    pub extra: String,
+    leafs_started: usize,
+    /// Extra YAML lines for the settings of nodes started from now on.
+    pub extra_settings: String,
 }
 
 impl Deployment {
-    /// Starts the stand-ins, and no node yet. `program` is the node's, and `directory` is for settings.
+    /// Starts leafs and store, but no nodes. `program` is the node's executable; `directory` takes settings and
+    /// logs.
     ///
     /// # Errors
-    /// No port or directory can be had.
+    /// Fails if a port cannot be bound or the directory cannot be created.
     pub async fn start(program: &path::Path, directory: &path::Path, size: Size) -> std::io::Result<Self> {
         std::fs::create_dir_all(directory)?;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
@@ -114,9 +115,9 @@
             routing: plan::Routing::default(),
             program: program.to_owned(),
             directory: directory.to_owned(),
-            started: 0,
+            leafs_started: 0,
             size,
-            extra: String::new(),
+            extra_settings: String::new(),
         };
         for shard in 0..size.shards {
             for _ in 0..size.replicas {
@@ -133,22 +134,22 @@
     /// Starts a leaf of `service` and registers it.
     ///
     /// # Errors
-    /// No port can be had.
+    /// Fails if no port can be bound.
     pub async fn start_leaf(&mut self, service: &str, slots: u32) -> std::io::Result<()> {
-        let is_far = self.size.is_wide && self.started.is_multiple_of(2);
-        self.start_leaf_in(if is_far { FAR } else { "here" }, service, slots).await
+        let is_far = self.size.has_two_data_centres && self.leafs_started.is_multiple_of(2);
+        self.start_leaf_in(if is_far { FAR_DATA_CENTRE } else { "here" }, service, slots).await
     }
 
-    /// The same in a data centre.
+    /// Like [`Deployment::start_leaf`], in the given data centre.
     ///
     /// # Errors
-    /// No port can be had.
+    /// Fails if no port can be bound.
     pub async fn start_leaf_in(&mut self, data_centre: &str, service: &str, slots: u32) -> std::io::Result<()> {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let proxy = proxy::Proxy::start(address).await?;
-        let id = format_compact!("i-{}", self.started);
-        self.started += 1;
+        let id = format_compact!("i-{}", self.leafs_started);
+        self.leafs_started += 1;
         let entry = plan::Leaf {
             incarnation: 0,
             name: id.clone(),
@@ -161,44 +162,44 @@
         };
         let replica = replica::Replica::start(&id, service, slots, listener);
         self.registry.register(&entry);
-        self.leafs.push(Leaf { entry, replica, proxy, address, is_gone: false });
+        self.leafs.push(Leaf { entry, replica, proxy, address, has_crashed: false });
         Ok(())
     }
 
-    /// Writes a configuration whose gather names `shards`.
+    /// Writes a configuration whose gather route covers `shards`.
     pub fn configure(&mut self, number: u64, shards: &[CompactString]) {
         self.routing = routing(number, shards);
         self.registry.configure(&self.routing);
     }
 
-    /// Starts a node; its place in the list.
+    /// Starts a node and returns its index in `nodes`.
     ///
     /// # Errors
-    /// The process cannot be started, or its first line is not what it should be.
+    /// Fails if the process cannot be started, or its first line does not list its addresses.
     pub fn start_node(&mut self) -> std::io::Result<usize> {
-        let place = self.nodes.len();
-        let node = self.spawn(place)?;
+        let index = self.nodes.len();
+        let node = self.spawn(index)?;
         self.nodes.push(node);
-        Ok(place)
+        Ok(index)
     }
 
-    /// Starts a node that ended anew.
+    /// Starts an exited node again.
     ///
     /// # Errors
-    /// As for [`Deployment::start_node`].
-    pub fn restart_node(&mut self, place: usize) -> std::io::Result<()> {
-        let node = self.spawn(place)?;
-        self.nodes[place] = node;
+    /// Fails as [`Deployment::start_node`] does.
+    pub fn restart_node(&mut self, index: usize) -> std::io::Result<()> {
+        let node = self.spawn(index)?;
+        self.nodes[index] = node;
         Ok(())
     }
 
-    fn spawn(&self, place: usize) -> std::io::Result<Node> {
-        let name = format_compact!("node-{place}");
+    fn spawn(&self, index: usize) -> std::io::Result<Node> {
+        let name = format_compact!("node-{index}");
         let seeds: Vec<String> = self
             .nodes
             .iter()
             .enumerate()
-            .filter(|(other, _)| *other != place)
+            .filter(|(other, _)| *other != index)
             .map(|(_, node)| format!("\"{}\"", node.peer))
             .collect();
         let settings = self.directory.join(format!("{name}.yaml"));
@@ -212,7 +213,7 @@
              control: {{watchers: 2, start_wait: 0, serve_on: 3000}}\n{}",
             self.registry_proxy.address,
             seeds.join(", "),
-            self.extra,
+            self.extra_settings,
         );
         std::fs::write(&settings, text)?;
         let mut child = process::Command::new(&self.program)
@@ -220,13 +221,15 @@
             .arg(&settings)
             .stdout(process::Stdio::piped())
             .spawn()?;
-        let output = child.stdout.take().ok_or_else(|| std::io::Error::other("no output"))?;
+        let output = child.stdout.take().ok_or_else(|| std::io::Error::other("the node has no stdout pipe"))?;
         let mut lines = BufReader::new(output).lines();
-        let line = lines.next().ok_or_else(|| std::io::Error::other("no first line"))??;
+        let line =
+            lines.next().ok_or_else(|| std::io::Error::other("the node closed its output before the first line"))??;
         let line: serde_json::Value = serde_json::from_str(&line)?;
         let address = |field: &str| {
             let text = line[field].as_str().unwrap_or_default();
-            text.parse().map_err(|_| std::io::Error::other(format!("no address `{field}` in {line}")))
+            text.parse()
+                .map_err(|_| std::io::Error::other(format!("no address `{field}` in the node's first line: {line}")))
         };
         let log = self.directory.join(format!("{name}-{}.log", child.id()));
         let node = Node {
@@ -239,7 +242,7 @@
             log: log.clone(),
             child,
         };
-        // Whoever does not read the output would stop the node once the pipe is full.
+        // Without a reader the node would block once the pipe is full.
         std::thread::spawn(move || {
             let mut file = std::fs::File::create(log).ok();
             for line in lines.map_while(Result::ok) {
@@ -251,43 +254,43 @@
         Ok(node)
     }
 
-    /// Waits until a node is ready; `false` if it does not become so.
-    pub async fn wait_ready(&self, place: usize) -> bool {
-        let end = std::time::Instant::now() + READY_MOST;
-        while std::time::Instant::now() < end {
-            if is_ready(self.nodes[place].ready).await {
+    /// Waits until a node is ready; returns `false` on a time-out.
+    pub async fn wait_ready(&self, index: usize) -> bool {
+        let deadline = std::time::Instant::now() + READY_TIMEOUT;
+        while std::time::Instant::now() < deadline {
+            if is_ready(self.nodes[index].ready).await {
                 return true;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         false
     }
 
     /// Sends a signal to a node's process.
-    pub fn signal(&self, place: usize, signal: Signal) {
-        let pid = Pid::from_raw(self.nodes[place].child.id() as i32);
+    pub fn signal(&self, index: usize, signal: Signal) {
+        let pid = Pid::from_raw(self.nodes[index].child.id() as i32);
         signal::kill(pid, signal).ok();
     }
 
-    /// Waits for the end of a node's process; its exit code.
-    pub async fn wait_end(&mut self, place: usize) -> Option<i32> {
+    /// Waits for a node's process to exit; returns its exit code, or `None` after a signal.
+    pub async fn wait_exit(&mut self, index: usize) -> Option<i32> {
         loop {
-            if let Ok(Some(status)) = self.nodes[place].child.try_wait() {
+            if let Ok(Some(status)) = self.nodes[index].child.try_wait() {
                 return status.code();
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Descriptors that a node's process has open.
-    pub fn descriptors(&self, place: usize) -> usize {
-        let entries = std::fs::read_dir(format!("/proc/{}/fd", self.nodes[place].child.id()));
+    /// Returns the number of file descriptors that a node's process has open.
+    pub fn descriptors(&self, index: usize) -> usize {
+        let entries = std::fs::read_dir(format!("/proc/{}/fd", self.nodes[index].child.id()));
         entries.map_or(0, |entries| entries.count())
     }
 
-    /// Whether a node's process runs.
-    pub fn is_running(&mut self, place: usize) -> bool {
-        matches!(self.nodes[place].child.try_wait(), Ok(None))
+    /// Whether a node's process is still running.
+    pub fn is_running(&mut self, index: usize) -> bool {
+        matches!(self.nodes[index].child.try_wait(), Ok(None))
     }
 }
 
@@ -301,14 +304,14 @@
     }
 }
 
-/// Whether the node whose readiness is told at `address` is ready.
+/// Whether the node with the readiness endpoint at `address` is ready.
 pub async fn is_ready(address: net::SocketAddr) -> bool {
-    crate::client::get(address, "/readyz").await.is_some_and(|status| status == 200)
+    crate::client::get_status(address, "/readyz").await.is_some_and(|status| status == 200)
 }
 
-/// The names of shards, of one cut of the index.
-pub fn shards(cut: usize, count: usize) -> Vec<CompactString> {
-    let prefix = if cut == 0 { String::new() } else { format!("cut{cut}-") };
+/// Returns the shard names of one partitioning of the index.
+pub fn shards(partitioning: usize, count: usize) -> Vec<CompactString> {
+    let prefix = if partitioning == 0 { String::new() } else { format!("cut{partitioning}-") };
     (0..count).map(|shard| format_compact!("{prefix}shard{shard}")).collect()
 }
 
@@ -333,11 +336,11 @@
     let letters = || plan::Destination::Services(vec![(CompactString::const_new("letters"), 1.0)]);
     let mut services: Vec<CompactString> = shards.to_vec();
     services.push("letters".into());
-    let backing = |name| plan::Upstream { name, connections: 40, warm_up: None };
+    let upstream = |name| plan::Upstream { name, connections: 40, warm_up: None };
     plan::Routing {
         number,
         routes: vec![route("gather", true, gather), route("read", true, letters()), route("write", false, letters())],
-        services: services.into_iter().map(backing).collect(),
+        services: services.into_iter().map(upstream).collect(),
         limits: Some(route::Limits {
             header_bytes: 8192,
             body_bytes: 65_536,
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, drawn from its seed.
+//! Faults and planned operations of a run, drawn from its seed.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,97 +12,98 @@
     proxy,
 };
 
-/// A fault or planned work, with what it strikes.
+/// A fault or planned operation, with its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A node is asked to stop, and started again.
+    /// A node gets SIGTERM, and is restarted.
     Term(usize),
-    /// A node is killed, and started again.
+    /// A node is killed, and restarted.
     Kill(usize),
-    /// All nodes are killed at once, and started again.
+    /// All nodes are killed at once, and restarted.
     KillAll,
-    /// A node stands still.
+    /// A node's process is suspended.
     Freeze(usize),
-    /// A node is told that its settings changed.
+    /// A node gets SIGHUP to reload its settings.
     HangUp(usize),
-    /// The way to a leaf is spoiled.
-    LeafWay(usize, proxy::Way),
+    /// The proxy of a leaf disturbs its connections.
+    LeafWay(usize, proxy::Mode),
     /// All connections of a leaf are reset.
     LeafReset(usize),
-    /// A leaf misbehaves now and then.
-    LeafManner(usize, replica::Manner),
-    /// All leafs of a leaf's service fail each request.
+    /// A leaf misbehaves on one of three requests.
+    LeafManner(usize, replica::Behaviour),
+    /// All leafs of the given leaf's service fail every request.
     ServiceFails(usize),
-    /// A leaf is slow.
+    /// A leaf responds slowly.
     LeafSlow(usize),
-    /// A leaf says that it leaves, and goes; another one comes.
+    /// A leaf registers as leaving; another one replaces it.
     LeafLeaves(usize),
-    /// A leaf is gone without a word; another one comes.
+    /// A leaf crashes without draining; another one replaces it.
     LeafCrash(usize),
     /// The store misbehaves.
     Store(registry::Mode),
-    /// The way to the store is spoiled.
-    StoreWay(proxy::Way),
-    /// The store forgets its history.
+    /// The proxy of the store disturbs its connections.
+    StoreWay(proxy::Mode),
+    /// The store compacts its history.
     StoreForgets,
-    /// The configuration changes.
+    /// Operators publish a new version of the configuration.
     Configure,
-    /// The index is cut anew.
+    /// The index is partitioned into another set of shards.
     Reshard,
     /// Operators evacuate the data centre of every second leaf.
     Evacuate,
-    /// A leaf says that it warms up.
+    /// A leaf registers as warming up.
     LeafWarms(usize),
 }
 
-const MANNERS: [replica::Manner; 9] = [
-    replica::Manner::Failing,
-    replica::Manner::Refusing,
-    replica::Manner::Mute,
-    replica::Manner::BreakingOff,
-    replica::Manner::Resetting,
-    replica::Manner::Garbled,
-    replica::Manner::Doubled,
-    replica::Manner::Mistaken,
-    replica::Manner::Unframed,
+const BEHAVIOURS: [replica::Behaviour; 9] = [
+    replica::Behaviour::Failing,
+    replica::Behaviour::Refusing,
+    replica::Behaviour::Mute,
+    replica::Behaviour::BreakingOff,
+    replica::Behaviour::Resetting,
+    replica::Behaviour::Garbled,
+    replica::Behaviour::Doubled,
+    replica::Behaviour::Mistaken,
+    replica::Behaviour::Unframed,
 ];
-const WAYS: [proxy::Way; 4] = [proxy::Way::Late, proxy::Way::CutForth, proxy::Way::CutBack, proxy::Way::Silent];
-const MODES: [registry::Mode; 4] =
+const PROXY_MODES: [proxy::Mode; 4] =
+    [proxy::Mode::Late, proxy::Mode::CutForth, proxy::Mode::CutBack, proxy::Mode::Silent];
+const STORE_MODES: [registry::Mode; 4] =
     [registry::Mode::Busy, registry::Mode::Away, registry::Mode::Silent, registry::Mode::Slow(300)];
 
 impl Fault {
-    /// Draws a fault for a deployment of `nodes` nodes and `leafs` leafs, over two data centres or one. What a seed
-    /// draws for one data centre stays the same.
-    pub fn draw(random: &mut rngs::SmallRng, nodes: usize, leafs: usize, is_wide: bool) -> Self {
-        if is_wide && random.random_bool(0.15) {
+    /// Draws a fault for a deployment of `nodes` nodes and `leafs` leafs, in two data centres or one. The draws of a
+    /// seed for one data centre stay the same as before two were supported.
+    pub fn draw(random: &mut rngs::SmallRng, nodes: usize, leafs: usize, has_two_data_centres: bool) -> Self {
+        if has_two_data_centres && random.random_bool(0.15) {
             let leaf = random.random_range(0..leafs);
             return if random.random_bool(0.5) { Self::Evacuate } else { Self::LeafWarms(leaf) };
         }
         let node = random.random_range(0..nodes);
         let leaf = random.random_range(0..leafs);
-        let way = WAYS[random.random_range(0..WAYS.len())];
+        let mode = PROXY_MODES[random.random_range(0..PROXY_MODES.len())];
         match random.random_range(0..100) {
             0..8 => Self::Term(node),
             8..14 => Self::Kill(node),
             14..17 => Self::KillAll,
             17..23 => Self::Freeze(node),
             23..26 => Self::HangUp(node),
-            26..38 => Self::LeafWay(leaf, way),
+            26..38 => Self::LeafWay(leaf, mode),
             38..44 => Self::LeafReset(leaf),
-            44..57 => Self::LeafManner(leaf, MANNERS[random.random_range(0..MANNERS.len())]),
+            44..57 => Self::LeafManner(leaf, BEHAVIOURS[random.random_range(0..BEHAVIOURS.len())]),
             57..60 => Self::ServiceFails(leaf),
             60..66 => Self::LeafSlow(leaf),
             66..74 => Self::LeafLeaves(leaf),
             74..78 => Self::LeafCrash(leaf),
-            78..85 => Self::Store(MODES[random.random_range(0..MODES.len())]),
-            85..89 => Self::StoreWay(way),
+            78..85 => Self::Store(STORE_MODES[random.random_range(0..STORE_MODES.len())]),
+            85..89 => Self::StoreWay(mode),
             89..92 => Self::StoreForgets,
             92..98 => Self::Configure,
             _ => Self::Reshard,
         }
     }
 
-    /// Whether operators do this on purpose, so that callers must not notice.
+    /// Whether this is a planned operation, which callers must not notice.
     pub fn is_planned(self) -> bool {
         matches!(
             self,
@@ -117,46 +118,47 @@
     }
 }
 
-/// What has to be done later to end a fault.
+/// A fault in progress, to be ended later.
 #[derive(Clone, Copy, Debug)]
-pub struct Mend {
-    /// When, from the run's begin.
-    pub at: Duration,
-    /// Which fault.
+pub struct ActiveFault {
+    /// Time at which the fault is due to end, from the start of the run.
+    pub ends_at: Duration,
+    /// The fault or planned operation itself.
     pub fault: Fault,
 }
 
-/// Carries faults out and mends them.
+/// Starts and ends faults.
 #[derive(Debug, Default)]
 pub struct Injector {
-    /// Faults that go on.
-    pub open: VecDeque<Mend>,
-    /// Cuts of the index so far.
-    cuts: usize,
+    /// Faults in progress.
+    pub active: VecDeque<ActiveFault>,
+    /// Number of repartitionings so far.
+    partitionings: usize,
     number: u64,
 }
 
 impl Injector {
-    /// Whether `fault` may begin: a node that is down cannot be struck again.
-    pub fn may_begin(&self, fault: Fault) -> bool {
+    /// Whether `fault` may start: a node with a fault in progress gets no second one, and a resharding must end before
+    /// the next.
+    pub fn may_start(&self, fault: Fault) -> bool {
         let node = |fault| match fault {
             Fault::Term(node) | Fault::Kill(node) | Fault::Freeze(node) | Fault::HangUp(node) => Some(node),
             _ => None,
         };
-        for open in &self.open {
-            let is_all = open.fault == Fault::KillAll && (node(fault).is_some() || fault == Fault::KillAll);
-            let is_same = node(fault).is_some() && node(fault) == node(open.fault);
-            let is_any = fault == Fault::KillAll && node(open.fault).is_some();
-            let is_cut = fault == Fault::Reshard && open.fault == Fault::Reshard;
-            if is_all || is_same || is_any || is_cut {
+        for active in &self.active {
+            let is_all_down = active.fault == Fault::KillAll && (node(fault).is_some() || fault == Fault::KillAll);
+            let is_same_node = node(fault).is_some() && node(fault) == node(active.fault);
+            let is_any_down = fault == Fault::KillAll && node(active.fault).is_some();
+            let is_resharding = fault == Fault::Reshard && active.fault == Fault::Reshard;
+            if is_all_down || is_same_node || is_any_down || is_resharding {
                 return false;
             }
         }
         true
     }
 
-    /// Begins a fault at `now` that is to last for `span`.
-    pub async fn begin(&mut self, deployment: &mut Deployment, fault: Fault, now: Duration, span: Duration) {
+    /// Starts a fault at `now` that lasts for `duration`.
+    pub async fn start(&mut self, deployment: &mut Deployment, fault: Fault, now: Duration, duration: Duration) {
         match fault {
             Fault::Term(node) => deployment.signal(node, Signal::SIGTERM),
             Fault::Kill(node) => deployment.signal(node, Signal::SIGKILL),
@@ -167,15 +169,15 @@
             }
             Fault::Freeze(node) => deployment.signal(node, Signal::SIGSTOP),
             Fault::HangUp(node) => deployment.signal(node, Signal::SIGHUP),
-            Fault::LeafWay(leaf, way) => deployment.leafs[leaf].proxy.set(way),
+            Fault::LeafWay(leaf, mode) => deployment.leafs[leaf].proxy.set(mode),
             Fault::LeafReset(leaf) => deployment.leafs[leaf].proxy.reset(),
-            Fault::LeafManner(leaf, manner) => deployment.leafs[leaf].replica.set(|knobs| {
-                knobs.manner = manner;
+            Fault::LeafManner(leaf, behaviour) => deployment.leafs[leaf].replica.set(|knobs| {
+                knobs.behaviour = behaviour;
                 knobs.one_in = 3;
             }),
             Fault::ServiceFails(leaf) => {
                 for leaf in service_of(deployment, leaf) {
-                    leaf.replica.set(|knobs| knobs.manner = replica::Manner::Failing);
+                    leaf.replica.set(|knobs| knobs.behaviour = replica::Behaviour::Failing);
                 }
             }
             Fault::LeafSlow(leaf) => deployment.leafs[leaf].replica.set(|knobs| knobs.work_ms = 120),
@@ -186,23 +188,23 @@
             }
             Fault::LeafCrash(leaf) => {
                 deployment.leafs[leaf].replica.crash();
-                deployment.leafs[leaf].is_gone = true;
+                deployment.leafs[leaf].has_crashed = true;
                 deployment.registry.unregister(&deployment.leafs[leaf].entry.clone());
                 self.replace(deployment, leaf).await;
             }
             Fault::Store(mode) => deployment.registry.set(mode),
-            Fault::StoreWay(way) => deployment.registry_proxy.set(way),
-            Fault::StoreForgets => deployment.registry.forget(),
+            Fault::StoreWay(mode) => deployment.registry_proxy.set(mode),
+            Fault::StoreForgets => deployment.registry.compact(),
             Fault::Configure => self.configure(deployment),
             Fault::Reshard => self.reshard(deployment).await,
-            Fault::Evacuate => deployment.registry.set_evacuated(deployment::FAR, true),
+            Fault::Evacuate => deployment.registry.set_evacuated(deployment::FAR_DATA_CENTRE, true),
             Fault::LeafWarms(leaf) => set_warming(deployment, leaf, true),
         }
-        self.open.push_back(Mend { at: now + span, fault });
+        self.active.push_back(ActiveFault { ends_at: now + duration, fault });
     }
 
-    /// Ends a fault.
-    pub async fn mend(&mut self, deployment: &mut Deployment, fault: Fault) {
+    /// Ends a fault and restores normal operation.
+    pub async fn finish(&mut self, deployment: &mut Deployment, fault: Fault) {
         match fault {
             Fault::Term(node) | Fault::Kill(node) => restart(deployment, node).await,
             Fault::KillAll => {
@@ -212,7 +214,7 @@
             }
             Fault::Freeze(node) => deployment.signal(node, Signal::SIGCONT),
             Fault::LeafWay(leaf, _) => {
-                deployment.leafs[leaf].proxy.set(proxy::Way::Open);
+                deployment.leafs[leaf].proxy.set(proxy::Mode::Open);
                 deployment.leafs[leaf].proxy.reset();
             }
             Fault::LeafManner(leaf, _) | Fault::LeafSlow(leaf) => {
@@ -223,11 +225,11 @@
                     leaf.replica.set(|knobs| *knobs = replica::Knobs::default());
                 }
             }
-            Fault::Evacuate => deployment.registry.set_evacuated(deployment::FAR, false),
+            Fault::Evacuate => deployment.registry.set_evacuated(deployment::FAR_DATA_CENTRE, false),
             Fault::LeafWarms(leaf) => set_warming(deployment, leaf, false),
             Fault::Store(_) => deployment.registry.set(registry::Mode::Proper),
             Fault::StoreWay(_) => {
-                deployment.registry_proxy.set(proxy::Way::Open);
+                deployment.registry_proxy.set(proxy::Mode::Open);
                 deployment.registry_proxy.reset();
             }
             _ => {}
@@ -249,13 +251,13 @@
         deployment.routing = routing;
     }
 
-    /// The next cut's leafs start, the configuration names them, and the old ones say that they leave.
+    /// Starts leafs for the next partitioning, configures it, and registers the old leafs as leaving.
     async fn reshard(&mut self, deployment: &mut Deployment) {
-        self.cuts += 1;
-        let old = deployment.leafs.len();
-        // Another number of shards than before, so that a mixed answer cannot look whole.
-        let count = 4 + self.cuts % 3;
-        let shards = deployment::shards(self.cuts, count);
+        self.partitionings += 1;
+        let old_count = deployment.leafs.len();
+        // The number of shards differs from the previous one, so that a mixed response cannot pass as complete.
+        let count = 4 + self.partitionings % 3;
+        let shards = deployment::shards(self.partitionings, count);
         for shard in &shards {
             for _ in 0..2 {
                 if let Err(error) = deployment.start_leaf(shard, 2).await {
@@ -266,7 +268,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         let number = deployment.routing.number + 10;
         deployment.configure(number, &shards);
-        for leaf in 0..old {
+        for leaf in 0..old_count {
             let entry = &mut deployment.leafs[leaf].entry;
             if entry.service != "letters" && !entry.leaving {
                 entry.leaving = true;
@@ -277,23 +279,23 @@
     }
 }
 
-/// A leaf that is gone has no entry any more.
+/// Sets the warm-up flag of a leaf, and updates its entry unless it crashed and has none.
 fn set_warming(deployment: &mut Deployment, leaf: usize, is_warming: bool) {
     let leaf = &mut deployment.leafs[leaf];
     leaf.entry.warming = is_warming;
-    if !leaf.is_gone {
+    if !leaf.has_crashed {
         deployment.registry.register(&leaf.entry);
     }
 }
 
-/// The leafs of the service of a leaf.
+/// Returns all leafs of the given leaf's service.
 fn service_of(deployment: &Deployment, leaf: usize) -> impl Iterator<Item = &deployment::Leaf> {
     let service = deployment.leafs[leaf].entry.service.clone();
     deployment.leafs.iter().filter(move |other| other.entry.service == service)
 }
 
 async fn restart(deployment: &mut Deployment, node: usize) {
-    deployment.wait_end(node).await;
+    deployment.wait_exit(node).await;
     if let Err(error) = deployment.restart_node(node) {
         println!("node {node} did not start again: {error}");
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,13 +1,13 @@
-//! A soak of real processes: nodes under seeded faults, judged by what clients and leafs see.
+//! A soak test of real processes: nodes under seeded faults, checked by what clients and leafs observe.
 //!
-//! [`deployment`] starts nodes as child processes over stand-ins of the platform; [`proxy`] stands on
-//! the way to leafs and store and spoils it; [`client`] asks on kept connections and checks each
-//! answer; [`fault`] draws what happens; [`judge`] holds the promises against it. A run prints its seed,
-//! ends by itself, and ends only processes that it started.
+//! [`deployment`] starts nodes as child processes against test doubles of the platform; [`proxy`] injects
+//! network faults between nodes and leafs or store; [`client`] sends requests on persistent connections and
+//! checks each response; [`fault`] draws and injects faults; [`checker`] checks the system's guarantees. A run
+//! prints its seed, ends by itself, and terminates only processes that it started.
 
+pub mod checker;
 pub mod client;
 pub mod deployment;
 pub mod fault;
-pub mod judge;
 pub mod proxy;
 pub mod run;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak's command line: `shallothub-soak --program FILE [--seeds N] [--first N] [--seconds N]`.
+//! Command line of the soak test: `shallothub-soak --program FILE [--seeds N] [--first N] [--seconds N]`.
 
 use std::{path, process, time::Duration};
 
@@ -22,15 +22,15 @@
             program: path::PathBuf::from(text("program")),
             directory: path::PathBuf::from(text("directory")).join(format!("seed-{seed}")),
             seed,
-            span: Duration::from_secs(number("seconds")),
+            duration: Duration::from_secs(number("seconds")),
             size: Size {
                 nodes: number("nodes") as usize,
                 shards: 6,
                 replicas: 2,
-                is_wide: !matches.get_flag("narrow"),
+                has_two_data_centres: !matches.get_flag("narrow"),
             },
             clients: number("clients") as usize,
-            extra: String::new(),
+            extra_settings: String::new(),
         };
         println!("seed {seed}");
         match runtime.block_on(run::run(&plan)) {
@@ -50,8 +50,8 @@
 
 fn report(verdict: &run::Verdict) {
     println!("  faults: {:?}", verdict.faults);
-    for (end, count) in &verdict.ends {
-        println!("  {count:6} {end}");
+    for (outcome, count) in &verdict.outcomes {
+        println!("  {count:6} {outcome}");
     }
     for breach in &verdict.breaches {
         println!("  BREACH {breach}");
@@ -63,24 +63,24 @@
         Arg::new(name).long(name).value_name("N").default_value(default).value_parser(value_parser!(u64)).help(help)
     };
     Command::new("shallothub-soak")
-        .about("Runs nodes as real processes under seeded faults, and judges what clients and leafs see")
-        .arg(Arg::new("program").long("program").value_name("FILE").required(true).help("The node's program"))
+        .about("Runs nodes as real processes under seeded faults, and checks what clients and leafs observe")
+        .arg(Arg::new("program").long("program").value_name("FILE").required(true).help("Executable of the node"))
         .arg(
             Arg::new("directory")
                 .long("directory")
                 .value_name("DIR")
                 .default_value("target/soak")
-                .help("Where settings and logs go"),
+                .help("Directory for settings and logs"),
         )
         .arg(
             Arg::new("narrow")
                 .long("narrow")
                 .action(clap::ArgAction::SetTrue)
-                .help("One data centre, without evacuations and warm-ups, as seeds below 30000 were first played"),
+                .help("One data centre, without evacuations and warm-ups, as in the first runs of seeds below 30000"),
         )
-        .arg(number("seeds", "1", "How many seeds"))
-        .arg(number("first", "1", "The first seed"))
-        .arg(number("seconds", "10", "How long faults are injected in each"))
-        .arg(number("nodes", "3", "Nodes"))
-        .arg(number("clients", "4", "Clients of each node"))
+        .arg(number("seeds", "1", "Number of seeds to run"))
+        .arg(number("first", "1", "First seed"))
+        .arg(number("seconds", "10", "Duration of fault injection for each seed"))
+        .arg(number("nodes", "3", "Number of nodes"))
+        .arg(number("clients", "4", "Number of clients per node"))
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A loopback proxy that spoils connections: it delays, resets, holds back one direction or both, and
-//! swallows what comes.
+//! A loopback proxy that injects network faults: it delays data, resets connections, and stalls one direction
+//! or both.
 
 use std::{
     net,
@@ -16,95 +16,96 @@
     task,
 };
 
-/// How long a delayed chunk waits.
+/// Delay of each chunk in [`Mode::Late`].
 const DELAY: Duration = Duration::from_millis(80);
 
-/// What the proxy does with bytes.
+/// How the proxy handles data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Way {
-    /// Passes them on.
+pub enum Mode {
+    /// Forwards data at once.
     #[default]
     Open,
-    /// Passes them on later.
+    /// Forwards data after a delay.
     Late,
-    /// Holds back what goes to the target.
+    /// Stalls data to the target.
     CutForth,
-    /// Holds back what comes from the target.
+    /// Stalls data from the target.
     CutBack,
-    /// Holds back both, and accepts new connections without a word.
+    /// Stalls both directions, and still accepts new connections.
     Silent,
 }
 
-impl Way {
+impl Mode {
     const ALL: [Self; 5] = [Self::Open, Self::Late, Self::CutForth, Self::CutBack, Self::Silent];
 
-    fn holds(self, forth: bool) -> bool {
+    fn is_stalled(self, to_target: bool) -> bool {
         match self {
             Self::Open | Self::Late => false,
-            Self::CutForth => forth,
-            Self::CutBack => !forth,
+            Self::CutForth => to_target,
+            Self::CutBack => !to_target,
             Self::Silent => true,
         }
     }
 }
 
-/// A proxy to one target.
+/// A proxy for one target address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: net::SocketAddr,
-    way: AtomicU8,
+    mode: AtomicU8,
     changed: Notify,
     reset: Notify,
 }
 
 impl Proxy {
-    /// Starts a proxy to `target`, in the runtime that this is called in.
+    /// Starts a proxy to `target`, in the current Tokio runtime.
     ///
     /// # Errors
-    /// No port can be had.
+    /// Fails if no port can be bound.
     pub async fn start(target: net::SocketAddr) -> std::io::Result<Arc<Self>> {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let proxy = Arc::new(Self { address, way: AtomicU8::new(0), changed: Notify::new(), reset: Notify::new() });
+        let proxy = Arc::new(Self { address, mode: AtomicU8::new(0), changed: Notify::new(), reset: Notify::new() });
         let accepting = Arc::clone(&proxy);
         task::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                task::spawn(Arc::clone(&accepting).carry(stream, target));
+                task::spawn(Arc::clone(&accepting).forward(stream, target));
             }
         });
         Ok(proxy)
     }
 
-    fn way(&self) -> Way {
-        Way::ALL[usize::from(self.way.load(Ordering::SeqCst)) % Way::ALL.len()]
+    fn mode(&self) -> Mode {
+        Mode::ALL[usize::from(self.mode.load(Ordering::SeqCst)) % Mode::ALL.len()]
     }
 
-    /// Changes what is done from now on.
-    pub fn set(&self, way: Way) {
-        self.way.store(way as u8, Ordering::SeqCst);
+    /// Sets how data is handled from now on, on open connections too.
+    pub fn set(&self, mode: Mode) {
+        self.mode.store(mode as u8, Ordering::SeqCst);
         self.changed.notify_waiters();
     }
 
-    /// Resets all connections.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.reset.notify_waiters();
     }
 
-    async fn carry(self: Arc<Self>, near: tokio::net::TcpStream, target: net::SocketAddr) -> Option<()> {
-        let far = tokio::net::TcpStream::connect(target).await.ok()?;
-        for stream in [&near, &far] {
+    async fn forward(self: Arc<Self>, client: tokio::net::TcpStream, target: net::SocketAddr) -> Option<()> {
+        let server = tokio::net::TcpStream::connect(target).await.ok()?;
+        for stream in [&client, &server] {
             stream.set_nodelay(true).ok()?;
         }
-        let sockets = [socket2::SockRef::from(&near).try_clone().ok()?, socket2::SockRef::from(&far).try_clone().ok()?];
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
-        let forth = self.copy(near_read, far_write, true);
-        let back = self.copy(far_read, near_write, false);
+        let sockets =
+            [socket2::SockRef::from(&client).try_clone().ok()?, socket2::SockRef::from(&server).try_clone().ok()?];
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
+        let to_target = self.copy(client_read, server_write, true);
+        let from_target = self.copy(server_read, client_write, false);
         tokio::select! {
-            // One direction that ends must not cut what still comes the other way.
-            _ = async { tokio::join!(forth, back) } => {}
+            // The end of one direction must not cut off data still in transit in the other.
+            _ = async { tokio::join!(to_target, from_target) } => {}
             () = self.reset.notified() => {
                 for socket in &sockets {
                     socket.set_linger(Some(Duration::ZERO)).ok();
@@ -118,17 +119,17 @@
         &self,
         mut from: tokio::net::tcp::OwnedReadHalf,
         mut to: tokio::net::tcp::OwnedWriteHalf,
-        forth: bool,
+        to_target: bool,
     ) -> Option<()> {
         let mut bytes = vec![0; 16 << 10];
         loop {
             let count = from.read(&mut bytes).await.ok()?;
-            if self.way() == Way::Late {
+            if self.mode() == Mode::Late {
                 tokio::time::sleep(DELAY).await;
             }
             loop {
                 let changed = self.changed.notified();
-                if !self.way().holds(forth) {
+                if !self.mode().is_stalled(to_target) {
                     break;
                 }
                 changed.await;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment, clients that ask all the while, faults drawn from a seed, and the verdict.
+//! One run: a deployment, clients under constant load, faults drawn from a seed, and the verdict.
 
 use std::{
     path,
@@ -15,103 +15,102 @@
 use tokio::task;
 
 use crate::{
-    client,
+    checker, client,
     deployment::{self, Deployment, Size},
     fault::{Fault, Injector},
-    judge,
 };
 
-/// How long around a fault a request does not count as calm: what was begun before it may still feel
-/// it, and what it broke may be noticed later.
-const UNCALM: Duration = Duration::from_millis(1500);
-/// Pause of a client between two requests.
+/// Time after a fault within which requests still count as disturbed: the damage of a fault may be noticed
+/// only later. A request that started before the fault is disturbed too.
+const DISTURBANCE_PERIOD: Duration = Duration::from_millis(1500);
+/// Pause of a client between requests.
 const PAUSE: Duration = Duration::from_millis(25);
-/// Time without faults at the end, in which all must serve again.
-const CALM: Duration = Duration::from_secs(4);
-/// Requests of each node that must be served at the end.
-const SERVED_LEAST: usize = 3;
+/// Fault-free time at the end, within which all nodes must recover.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(4);
+/// Minimum number of requests that each node must serve at the end.
+const MIN_SERVED: usize = 3;
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The node's program.
+    /// Path of the node's executable.
     pub program: path::PathBuf,
-    /// A directory for settings and logs.
+    /// Directory for settings and logs.
     pub directory: path::PathBuf,
-    /// The seed of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How long faults are injected.
-    pub span: Duration,
-    /// The deployment's size.
+    /// Duration of fault injection.
+    pub duration: Duration,
+    /// Size of the deployment.
     pub size: Size,
-    /// Clients of each node.
+    /// Number of clients per node.
     pub clients: usize,
-    /// Extra lines for the nodes' settings.
-    pub extra: String,
+    /// Extra YAML lines for the nodes' settings.
+    pub extra_settings: String,
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Verdict {
-    /// Promises that did not hold.
+    /// Violated guarantees, each with its details.
     pub breaches: Vec<String>,
-    /// Faults in order.
+    /// Injected faults, in order.
     pub faults: Vec<Fault>,
-    /// How requests ended.
-    pub ends: IndexMap<String, usize>,
+    /// Number of requests by kind and outcome.
+    pub outcomes: IndexMap<String, usize>,
 }
 
-struct Seen {
-    judge: Mutex<judge::Judge>,
-    /// When the run began.
-    begun: tokio::time::Instant,
-    /// When the last unplanned fault began, ended or went on, from then.
+struct Shared {
+    checker: Mutex<checker::Checker>,
+    /// Start of the run.
+    started: tokio::time::Instant,
+    /// Latest time at which an unplanned fault started, was active or ended, relative to `started`.
     fault_at: Mutex<Option<Duration>>,
     is_over: AtomicBool,
-    names: AtomicU64,
+    next_name: AtomicU64,
 }
 
-impl Seen {
-    fn judge(&self) -> MutexGuard<'_, judge::Judge> {
-        self.judge.lock().unwrap_or_else(PoisonError::into_inner)
+impl Shared {
+    fn checker(&self) -> MutexGuard<'_, checker::Checker> {
+        self.checker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    fn note_fault(&self) {
+    fn record_fault(&self) {
         *self.fault_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(self.now());
     }
 
-    fn is_calm_since(&self, begun: Duration) -> bool {
+    fn is_undisturbed_since(&self, started: Duration) -> bool {
         let fault_at = *self.fault_at.lock().unwrap_or_else(PoisonError::into_inner);
-        fault_at.is_none_or(|fault_at| begun > fault_at + UNCALM)
+        fault_at.is_none_or(|fault_at| started > fault_at + DISTURBANCE_PERIOD)
     }
 }
 
-/// Runs a plan.
+/// Executes a plan.
 ///
 /// # Errors
-/// The stand-ins or nodes could not be started.
+/// Fails if leafs, store or nodes cannot be started.
 pub async fn run(plan: &Plan) -> std::io::Result<Verdict> {
     let mut random = rngs::SmallRng::seed_from_u64(plan.seed);
     let mut deployment = Deployment::start(&plan.program, &plan.directory, plan.size).await?;
-    deployment.extra.clone_from(&plan.extra);
+    deployment.extra_settings.clone_from(&plan.extra_settings);
     for _ in 0..plan.size.nodes {
         deployment.start_node()?;
     }
-    let seen = Arc::new(Seen {
-        judge: Mutex::default(),
-        begun: tokio::time::Instant::now(),
+    let shared = Arc::new(Shared {
+        checker: Mutex::default(),
+        started: tokio::time::Instant::now(),
         fault_at: Mutex::default(),
         is_over: AtomicBool::new(false),
-        names: AtomicU64::new(0),
+        next_name: AtomicU64::new(0),
     });
-    seen.judge().note_set(set(&deployment));
+    shared.checker().add_shard_set(gather_shards(&deployment));
     for node in 0..plan.size.nodes {
         if !deployment.wait_ready(node).await {
-            seen.judge().breach("starts", format!("node {node} is not ready"));
+            shared.checker().breach("starts", format!("node {node} is not ready"));
         }
     }
     let addresses = Arc::new(Mutex::new(addresses(&deployment)));
@@ -119,47 +118,56 @@
     for node in 0..plan.size.nodes {
         for _ in 0..plan.clients {
             let seed = random.random();
-            clients.spawn(ask_on(Arc::clone(&seen), Arc::clone(&addresses), node, seed));
+            clients.spawn(run_client(Arc::clone(&shared), Arc::clone(&addresses), node, seed));
         }
     }
-    let faults = inject(plan, &mut random, &mut deployment, &seen, &addresses).await;
-    recover(plan, &deployment, &seen).await;
-    seen.is_over.store(true, Ordering::SeqCst);
+    let faults = inject(plan, &mut random, &mut deployment, &shared, &addresses).await;
+    check_recovery(plan, &deployment, &shared).await;
+    shared.is_over.store(true, Ordering::SeqCst);
     while clients.join_next().await.is_some() {}
-    let mut judge = seen.judge();
-    judge.judge_ledgers(&deployment);
-    judge.judge_logs(&deployment);
-    Ok(Verdict { breaches: judge.breaches().to_vec(), faults, ends: judge.summary() })
+    let mut checker = shared.checker();
+    checker.check_ledgers(&deployment);
+    checker.check_logs(&deployment);
+    Ok(Verdict { breaches: checker.breaches().to_vec(), faults, outcomes: checker.summary() })
 }
 
 fn addresses(deployment: &Deployment) -> Vec<std::net::SocketAddr> {
     deployment.nodes.iter().map(|node| node.listen).collect()
 }
 
-/// A client of one node: it asks again and again on a kept connection.
-async fn ask_on(seen: Arc<Seen>, addresses: Arc<Mutex<Vec<std::net::SocketAddr>>>, node: usize, seed: u64) {
+/// Sends requests to one node on a persistent connection until the run ends.
+async fn run_client(shared: Arc<Shared>, addresses: Arc<Mutex<Vec<std::net::SocketAddr>>>, node: usize, seed: u64) {
     let mut random = rngs::SmallRng::seed_from_u64(seed);
     let address = || addresses.lock().unwrap_or_else(PoisonError::into_inner)[node];
-    let mut held = address();
-    let mut client = client::Client::new(held);
-    while !seen.is_over.load(Ordering::SeqCst) {
-        if address() != held {
-            held = address();
-            client = client::Client::new(held);
+    let mut current = address();
+    let mut client = client::Client::new(current);
+    while !shared.is_over.load(Ordering::SeqCst) {
+        if address() != current {
+            current = address();
+            client = client::Client::new(current);
         }
         let kind = match random.random_range(0..4) {
             0 | 1 => client::Kind::Gather,
             2 => client::Kind::Read,
             _ => client::Kind::Write,
         };
-        let name = format_compact!("r{:08x}", seen.names.fetch_add(1, Ordering::SeqCst));
-        let begun = seen.now();
-        let end = client.ask(kind, &name).await;
-        let is_calm = seen.is_calm_since(begun);
-        let is_away = end == client::End::NoConnection;
-        let row = judge::Row { name, kind, node, address: held, begun, ended: seen.now(), end, is_calm };
-        seen.judge().take(row);
-        tokio::time::sleep(if is_away { PAUSE * 4 } else { PAUSE }).await;
+        let name = format_compact!("r{:08x}", shared.next_name.fetch_add(1, Ordering::SeqCst));
+        let started = shared.now();
+        let outcome = client.send(kind, &name).await;
+        let is_undisturbed = shared.is_undisturbed_since(started);
+        let is_unreachable = outcome == client::Outcome::NoConnection;
+        let record = checker::Record {
+            name,
+            kind,
+            node,
+            address: current,
+            started,
+            ended: shared.now(),
+            outcome,
+            is_undisturbed,
+        };
+        shared.checker().add(record);
+        tokio::time::sleep(if is_unreachable { PAUSE * 4 } else { PAUSE }).await;
     }
 }
 
@@ -167,40 +175,40 @@
     plan: &Plan,
     random: &mut rngs::SmallRng,
     deployment: &mut Deployment,
-    seen: &Seen,
+    shared: &Shared,
     addresses: &Mutex<Vec<std::net::SocketAddr>>,
 ) -> Vec<Fault> {
-    let begun = seen.now();
+    let started = shared.now();
     let mut injector = Injector::default();
     let mut faults = Vec::new();
-    while seen.now() < begun + plan.span {
-        let fault = Fault::draw(random, plan.size.nodes, deployment.leafs.len(), plan.size.is_wide);
-        let span = Duration::from_millis(random.random_range(200..2500));
+    while shared.now() < started + plan.duration {
+        let fault = Fault::draw(random, plan.size.nodes, deployment.leafs.len(), plan.size.has_two_data_centres);
+        let duration = Duration::from_millis(random.random_range(200..2500));
         let pause = Duration::from_millis(random.random_range(50..700));
-        if injector.may_begin(fault) {
+        if injector.may_start(fault) {
             faults.push(fault);
-            note(seen, fault);
-            injector.begin(deployment, fault, seen.now(), span).await;
-            seen.judge().note_set(set(deployment));
+            record_if_unplanned(shared, fault);
+            injector.start(deployment, fault, shared.now(), duration).await;
+            shared.checker().add_shard_set(gather_shards(deployment));
         }
         tokio::time::sleep(pause).await;
-        seen.judge().judge_extra(deployment);
-        let now = seen.now();
-        mend_due(&mut injector, deployment, seen, now).await;
+        shared.checker().check_extra_load(deployment);
+        let now = shared.now();
+        end_due_faults(&mut injector, deployment, shared, now).await;
         *addresses.lock().unwrap_or_else(PoisonError::into_inner) = self::addresses(deployment);
     }
-    mend_due(&mut injector, deployment, seen, Duration::MAX).await;
+    end_due_faults(&mut injector, deployment, shared, Duration::MAX).await;
     *addresses.lock().unwrap_or_else(PoisonError::into_inner) = self::addresses(deployment);
     faults
 }
 
-fn note(seen: &Seen, fault: Fault) {
+fn record_if_unplanned(shared: &Shared, fault: Fault) {
     if !fault.is_planned() {
-        seen.note_fault();
+        shared.record_fault();
     }
 }
 
-fn set(deployment: &Deployment) -> Vec<compact_str::CompactString> {
+fn gather_shards(deployment: &Deployment) -> Vec<compact_str::CompactString> {
     let mut shards = Vec::new();
     for route in &deployment.routing.routes {
         if let shallothub_core::plan::Destination::Gather { services, .. } = &route.destination {
@@ -210,60 +218,60 @@
     shards
 }
 
-async fn mend_due(injector: &mut Injector, deployment: &mut Deployment, seen: &Seen, now: Duration) {
-    for mend in std::mem::take(&mut injector.open) {
-        if mend.at > now {
-            note(seen, mend.fault);
-            injector.open.push_back(mend);
+async fn end_due_faults(injector: &mut Injector, deployment: &mut Deployment, shared: &Shared, now: Duration) {
+    for active_fault in std::mem::take(&mut injector.active) {
+        if active_fault.ends_at > now {
+            record_if_unplanned(shared, active_fault.fault);
+            injector.active.push_back(active_fault);
             continue;
         }
-        injector.mend(deployment, mend.fault).await;
-        note(seen, mend.fault);
+        injector.finish(deployment, active_fault.fault).await;
+        record_if_unplanned(shared, active_fault.fault);
     }
 }
 
-/// After the last fault every node must be ready and serve, by the configuration in force, and no server
-/// that leaves may be asked any longer.
-async fn recover(plan: &Plan, deployment: &Deployment, seen: &Seen) {
-    if plan.size.is_wide {
-        deployment.registry.set_evacuated(deployment::FAR, true);
+/// Checks that after the last fault every node becomes ready and serves by the configuration in force, and that
+/// leaving and evacuated servers get no more requests.
+async fn check_recovery(plan: &Plan, deployment: &Deployment, shared: &Shared) {
+    if plan.size.has_two_data_centres {
+        deployment.registry.set_evacuated(deployment::FAR_DATA_CENTRE, true);
     }
-    tokio::time::sleep(CALM).await;
-    let settled = std::time::Instant::now();
-    let in_force = set(deployment);
+    tokio::time::sleep(RECOVERY_PERIOD).await;
+    let settled_at = std::time::Instant::now();
+    let in_force = gather_shards(deployment);
     for node in 0..plan.size.nodes {
         if !deployment.wait_ready(node).await {
-            seen.judge().breach("recovers", format!("node {node} is not ready"));
+            shared.checker().breach("recovers", format!("node {node} is not ready"));
             continue;
         }
         let mut client = client::Client::new(deployment.nodes[node].listen);
         let mut served = 0;
-        for _ in 0..SERVED_LEAST * 4 {
-            let name = format_compact!("r{:08x}", seen.names.fetch_add(1, Ordering::SeqCst));
-            let end = client.ask(client::Kind::Gather, &name).await;
-            if let client::End::Served { services, .. } = &end {
+        for _ in 0..MIN_SERVED * 4 {
+            let name = format_compact!("r{:08x}", shared.next_name.fetch_add(1, Ordering::SeqCst));
+            let outcome = client.send(client::Kind::Gather, &name).await;
+            if let client::Outcome::Served { services, .. } = &outcome {
                 served += 1;
                 if !services.iter().all(|service| in_force.contains(service)) {
-                    seen.judge().breach("configuration_in_force", format!("node {node}: {services:?}"));
+                    shared.checker().breach("configuration_in_force", format!("node {node}: {services:?}"));
                 }
             }
-            if served >= SERVED_LEAST {
+            if served >= MIN_SERVED {
                 break;
             }
             tokio::time::sleep(PAUSE * 4).await;
         }
-        if served < SERVED_LEAST {
-            seen.judge().breach("recovers", format!("node {node} serves {served} of {}", SERVED_LEAST * 4));
+        if served < MIN_SERVED {
+            shared.checker().breach("recovers", format!("node {node} serves {served} of {}", MIN_SERVED * 4));
         }
     }
     for leaf in &deployment.leafs {
-        let is_evacuated = plan.size.is_wide && leaf.entry.data_centre == deployment::FAR;
-        let is_asked = leaf.replica.ledger().last.is_some_and(|last| last > settled);
-        if leaf.entry.leaving && is_asked {
-            seen.judge().breach("leaving_servers_rest", &leaf.entry.name);
+        let is_evacuated = plan.size.has_two_data_centres && leaf.entry.data_centre == deployment::FAR_DATA_CENTRE;
+        let is_used = leaf.replica.ledger().last_request_at.is_some_and(|last| last > settled_at);
+        if leaf.entry.leaving && is_used {
+            shared.checker().breach("leaving_servers_rest", &leaf.entry.name);
         }
-        if is_evacuated && is_asked {
-            seen.judge().breach("evacuated_servers_rest", &leaf.entry.name);
+        if is_evacuated && is_used {
+            shared.checker().breach("evacuated_servers_rest", &leaf.entry.name);
         }
     }
 }
--- a/crates/standin/examples/backend.rs
+++ b/crates/standin/examples/backend.rs
@@ -1,6 +1,6 @@
-//! Backend servers as a process of their own: `backend --file leaves.yaml`.
+//! Runs backend servers in a separate process: `backend --file leaves.yaml`.
 //!
-//! The file lists leaves as [`Leaves`]; each listens on its own address.
+//! The file has the format of [`Leaves`]; each leaf listens on its own address.
 
 use std::{fs, net as std_net, process};
 
@@ -13,12 +13,12 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Leaves {
-    leaves: Vec<Row>,
+    leaves: Vec<LeafEntry>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Row {
+struct LeafEntry {
     address: std_net::SocketAddr,
     spec: leaf::Spec,
 }
@@ -31,10 +31,10 @@
     let text = fs::read_to_string(path).unwrap_or_else(|error| fail(&format!("{path}: {error}")));
     let leaves: Leaves = yaml::read(path, &text).unwrap_or_else(|faults| fail(&faults[0].to_string()));
     let mut running = Vec::new();
-    for row in &leaves.leaves {
-        let listener = net::TcpListener::bind(row.address).await;
-        let listener = listener.unwrap_or_else(|error| fail(&format!("{}: {error}", row.address)));
-        running.push(leaf::Leaf::start(&row.spec, listener));
+    for entry in &leaves.leaves {
+        let listener = net::TcpListener::bind(entry.address).await;
+        let listener = listener.unwrap_or_else(|error| fail(&format!("{}: {error}", entry.address)));
+        running.push(leaf::Leaf::start(&entry.spec, listener));
     }
     println!("{} leaves", running.len());
     std::future::pending::<()>().await;
--- a/crates/standin/examples/platform.rs
+++ b/crates/standin/examples/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration service as a process of its own:
+//! Runs the platform's configuration service in a separate process:
 //! `platform --listen IP:PORT --directory DIR`.
 //!
-//! Each file below the directory is published under its path; `.yaml` is cut off.
+//! Each file below the directory is published under its relative path without the `.yaml` extension.
 
 use std::{fs, path, process, sync::Arc};
 
@@ -12,8 +12,8 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let command = Command::new("platform")
-        .arg(Arg::new("listen").long("listen").required(true).help("IP:PORT"))
-        .arg(Arg::new("directory").long("directory").required(true).help("what to publish"));
+        .arg(Arg::new("listen").long("listen").required(true).help("IP:PORT to listen on"))
+        .arg(Arg::new("directory").long("directory").required(true).help("Directory whose files are published"));
     let matches = command.get_matches();
     let text = |name| matches.get_one::<String>(name).map(String::as_str).unwrap_or_default();
     let listener = net::TcpListener::bind(text("listen")).await;
--- a/crates/standin/src/http_server.rs
+++ b/crates/standin/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The little HTTP server under both stand-ins.
+//! A minimal HTTP server for the test doubles.
 
 use std::{convert::Infallible, future::Future, pin::Pin, sync::Arc, sync::atomic};
 
@@ -8,52 +8,52 @@
 use hyper_util::rt;
 use tokio::{net, task};
 
-/// An answer's body.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// An answer on its way; `None` cuts the connection without one.
-pub type Pending = Pin<Box<dyn Future<Output = Option<http::Response<Body>>> + Send>>;
+/// A pending response; `None` closes the connection without one.
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Option<http::Response<Body>>> + Send>>;
 
-/// A body that is there at once.
+/// Returns a body with all of `bytes` in one frame.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     http_body_util::Full::new(bytes.into()).boxed()
 }
 
-/// An answer with `status` and `bytes`.
+/// Returns a response with `status` and body `bytes`; an invalid status becomes 500.
 pub fn answer(status: u16, bytes: impl Into<Bytes>) -> http::Response<Body> {
     let mut response = http::Response::new(full(bytes));
     *response.status_mut() = http::StatusCode::from_u16(status).unwrap_or(http::StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
 
-/// Connections of one server.
+/// Connection counters of one server.
 #[derive(Debug, Default)]
 pub struct Connections {
-    /// Open now.
+    /// Number of open connections.
     pub open: atomic::AtomicU32,
-    /// Most that were ever open.
-    pub most: atomic::AtomicU32,
-    /// Refused because there were too many.
+    /// Highest number of connections open at once.
+    pub peak: atomic::AtomicU32,
+    /// Number of connections refused over the limit.
     pub refused: atomic::AtomicU32,
 }
 
 #[derive(Debug)]
-struct Cut;
+struct DeliberateClose;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for DeliberateClose {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut on purpose")
+        f.write_str("connection closed on purpose")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for DeliberateClose {}
 
-/// Serves connections until the runtime ends. More than `limit` at once are closed unserved.
+/// Serves connections until the runtime shuts down. Connections over `limit` are closed at once.
 pub async fn serve(
     listener: net::TcpListener,
     limit: u32,
     connections: Arc<Connections>,
-    handler: Arc<dyn Fn(http::Request<body::Incoming>) -> Pending + Send + Sync>,
+    handler: Arc<dyn Fn(http::Request<body::Incoming>) -> ResponseFuture + Send + Sync>,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -65,16 +65,16 @@
             connections.refused.fetch_add(1, atomic::Ordering::SeqCst);
             continue;
         }
-        connections.most.fetch_max(open, atomic::Ordering::SeqCst);
+        connections.peak.fetch_max(open, atomic::Ordering::SeqCst);
         let handler = Arc::clone(&handler);
         let connections = Arc::clone(&connections);
         task::spawn(async move {
             let _ = stream.set_nodelay(true);
             let service = service::service_fn(move |request| {
                 let pending = handler(request);
-                async move { pending.await.ok_or(Cut) }
+                async move { pending.await.ok_or(DeliberateClose) }
             });
-            // An error here is a caller that went away or a cut on purpose; both are expected.
+            // An error here is a client that disconnected or a deliberate close; both are expected.
             let _ =
                 hyper::server::conn::http1::Builder::new().serve_connection(rt::TokioIo::new(stream), service).await;
             connections.open.fetch_sub(1, atomic::Ordering::SeqCst);
--- a/crates/standin/src/leaf.rs
+++ b/crates/standin/src/leaf.rs
@@ -1,7 +1,7 @@
-//! A backend server: slots, a connection limit, shedding, draining, index versions, partition
-//! epochs, deadlines, cancellation, a ledger of what it ran, and misbehaviour on demand.
+//! A backend server with slots, a connection limit, load shedding, draining, index versions, partition
+//! epochs, deadlines, cancellation, a ledger of its executions, and injectable faults.
 //!
-//! `POST /admin/knobs` takes [`Knobs`] in JSON, `GET /admin/ledger` gives a [`Ledger`].
+//! `POST /admin/knobs` takes [`Knobs`] in JSON, `GET /admin/ledger` returns a [`Ledger`].
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError, atomic},
@@ -22,48 +22,49 @@
 
 use crate::http_server;
 
-/// How a leaf answers.
+/// How a leaf responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
-    /// As it should.
+pub enum Behaviour {
+    /// Follows the protocol.
     #[default]
     Proper,
-    /// Runs, then never answers.
+    /// Executes the search, then never responds.
     Hang,
-    /// Runs, then answers what is no JSON.
+    /// Executes the search, then responds with invalid JSON.
     Garbage,
-    /// Runs, then cuts the connection in the middle of the answer.
+    /// Executes the search, then closes the connection halfway through the response.
     Half,
-    /// Runs, then answers with another's attempt.
+    /// Executes the search, then responds with the id of another attempt.
     Others,
-    /// Runs, then answers for ever.
+    /// Executes the search, then sends a response body that never ends.
     Endless,
-    /// Refuses everything.
+    /// Refuses all requests.
     Shed,
 }
 
-/// What can be set while a leaf runs.
+/// Settings that can change while a leaf runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Knobs {
-    /// Time that a search takes, in ms.
+    /// Duration of a search, in ms.
     pub latency_ms: u64,
-    /// Up to so much is added at random, in ms.
+    /// Upper bound of the random extra duration of a search, in ms.
     pub jitter_ms: u64,
-    /// Partition epoch.
+    /// Partition epoch; requests for another epoch are refused.
     pub epoch: u64,
-    /// Index version.
+    /// Current index version.
     pub version: u64,
-    /// An older version that it still answers from.
+    /// An older index version that is still searchable.
     pub held: Option<u64>,
-    /// Refuses new work because it is leaving.
+    /// Whether new requests are refused because the server is leaving.
     pub draining: bool,
-    /// How it answers.
-    pub manner: Manner,
-    /// Hits of each answer.
+    /// How the leaf responds.
+    #[serde(rename = "manner")]
+    pub behaviour: Behaviour,
+    /// Number of hits in each response.
     pub hits: u32,
-    /// Requests that may wait for a slot.
+    /// Maximum number of requests that wait or run at once.
     pub queue: u32,
 }
 
@@ -76,54 +77,54 @@
             version: 1,
             held: None,
             draining: false,
-            manner: Manner::Proper,
+            behaviour: Behaviour::Proper,
             hits: 3,
             queue: 64,
         }
     }
 }
 
-/// What a leaf did.
+/// Counters of what a leaf did since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Searches begun.
+    /// Searches started.
     pub executed: u64,
-    /// Requests refused before running.
+    /// Requests refused before execution.
     pub refused: u64,
-    /// Executions by request key.
+    /// Number of executions by request key.
     pub keys: IndexMap<CompactString, u32>,
-    /// Executions by attempt, the first hundred thousand.
+    /// Number of executions by attempt, for the first 100,000 attempts.
     pub attempts: IndexMap<CompactString, u32>,
-    /// Most connections that were ever open.
+    /// Highest number of connections open at once.
     pub connections_most: u32,
-    /// Connections closed because there were too many.
+    /// Connections refused over the limit.
     pub connections_refused: u32,
 }
 
-const ATTEMPTS_KEPT: usize = 100_000;
+const MAX_RECORDED_ATTEMPTS: usize = 100_000;
 
-/// A leaf's fixed properties.
+/// Fixed properties of a leaf.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Its name, as operators write it.
+    /// Server name, as in the operators' documents.
     pub name: CompactString,
-    /// Searches that it runs at once.
+    /// Maximum number of concurrent searches.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// Start values of the knobs.
+    /// Initial values of the knobs.
     #[serde(default)]
     pub knobs: Knobs,
 }
 
-/// A leaf that runs.
+/// A running leaf.
 #[derive(Debug)]
 pub struct Leaf {
     knobs: Mutex<Knobs>,
     ledger: Mutex<Ledger>,
     slots: sync::Semaphore,
-    waiting: atomic::AtomicU32,
+    in_flight: atomic::AtomicU32,
     connections: Arc<http_server::Connections>,
     random: Mutex<rngs::SmallRng>,
 }
@@ -132,51 +133,51 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts a request that waits or runs, also when its future is dropped by a cancellation.
-struct Present<'l>(&'l atomic::AtomicU32);
+/// Counts a waiting or running request; the drop also covers futures dropped on cancellation.
+struct InFlight<'l>(&'l atomic::AtomicU32);
 
-impl<'l> Present<'l> {
+impl<'l> InFlight<'l> {
     fn enter(count: &'l atomic::AtomicU32) -> (Self, u32) {
-        let before = count.fetch_add(1, atomic::Ordering::SeqCst);
-        (Self(count), before)
+        let count_before = count.fetch_add(1, atomic::Ordering::SeqCst);
+        (Self(count), count_before)
     }
 }
 
-impl Drop for Present<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::SeqCst);
     }
 }
 
 impl Leaf {
-    /// Starts a leaf on `listener`, in the runtime that this is called in.
+    /// Starts a leaf on `listener`, in the current Tokio runtime.
     pub fn start(spec: &Spec, listener: net::TcpListener) -> Arc<Self> {
         let leaf = Arc::new(Self {
             knobs: Mutex::new(spec.knobs.clone()),
             ledger: Mutex::default(),
             slots: sync::Semaphore::new(spec.slots as usize),
-            waiting: atomic::AtomicU32::new(0),
+            in_flight: atomic::AtomicU32::new(0),
             connections: Arc::default(),
             random: Mutex::new(rngs::SmallRng::seed_from_u64(catalog::Digest::of(&spec.name).0)),
         });
         let connections = Arc::clone(&leaf.connections);
         let handler = {
             let leaf = Arc::clone(&leaf);
-            Arc::new(move |request| Box::pin(Arc::clone(&leaf).handle(request)) as http_server::Pending)
+            Arc::new(move |request| Box::pin(Arc::clone(&leaf).handle(request)) as http_server::ResponseFuture)
         };
         task::spawn(http_server::serve(listener, spec.connections, connections, handler));
         leaf
     }
 
-    /// Changes the knobs.
+    /// Applies `change` to the knobs, for later requests.
     pub fn set(&self, change: impl FnOnce(&mut Knobs)) {
         change(&mut lock(&self.knobs));
     }
 
-    /// What it did so far.
+    /// Returns a copy of the counters.
     pub fn ledger(&self) -> Ledger {
         let mut ledger = lock(&self.ledger).clone();
-        ledger.connections_most = self.connections.most.load(atomic::Ordering::SeqCst);
+        ledger.connections_most = self.connections.peak.load(atomic::Ordering::SeqCst);
         ledger.connections_refused = self.connections.refused.load(atomic::Ordering::SeqCst);
         ledger
     }
@@ -186,18 +187,18 @@
         request: http::Request<body::Incoming>,
     ) -> Option<http::Response<http_server::Body>> {
         match request.uri().path() {
-            "/admin/knobs" => Some(self.admin(request).await),
+            "/admin/knobs" => Some(self.set_knobs(request).await),
             "/admin/ledger" => Some(http_server::answer(200, serde_json::to_vec(&self.ledger()).unwrap_or_default())),
             leaf::PATH => self.search(request).await,
             _ => Some(http_server::answer(404, "no such path")),
         }
     }
 
-    async fn admin(&self, request: http::Request<body::Incoming>) -> http::Response<http_server::Body> {
+    async fn set_knobs(&self, request: http::Request<body::Incoming>) -> http::Response<http_server::Body> {
         let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(knobs) => {
-                self.set(|held| *held = knobs);
+                self.set(|current| *current = knobs);
                 http_server::answer(200, "set")
             }
             Err(error) => http_server::answer(400, error.to_string()),
@@ -206,28 +207,28 @@
 
     async fn search(&self, request: http::Request<body::Incoming>) -> Option<http::Response<http_server::Body>> {
         let arrived = time::Instant::now();
-        let ask = Ask::of(request.headers());
-        // The whole request is read before anything runs: half a request never runs.
+        let params = Params::from_headers(request.headers());
+        // Reads the whole request first, so that a truncated request is never executed.
         if request.into_body().collect().await.is_err() {
             return None;
         }
         let knobs = lock(&self.knobs).clone();
-        let (_present, before) = Present::enter(&self.waiting);
-        let is_full = before >= knobs.queue;
+        let (_in_flight, count_before) = InFlight::enter(&self.in_flight);
+        let is_full = count_before >= knobs.queue;
         if is_full
             || knobs.draining
-            || knobs.manner == Manner::Shed
-            || ask.epoch.is_some_and(|epoch| epoch != knobs.epoch)
+            || knobs.behaviour == Behaviour::Shed
+            || params.epoch.is_some_and(|epoch| epoch != knobs.epoch)
         {
             return Some(self.refuse());
         }
         let Ok(_slot) = self.slots.acquire().await else {
             return Some(self.refuse());
         };
-        if ask.deadline_ms.is_some_and(|deadline| arrived.elapsed().as_millis() >= u128::from(deadline)) {
+        if params.deadline_ms.is_some_and(|deadline| arrived.elapsed().as_millis() >= u128::from(deadline)) {
             return Some(self.refuse());
         }
-        if !self.record(&ask) {
+        if !self.record(&params) {
             return Some(http_server::answer(409, "this key runs or ran"));
         }
         let jitter = lock(&self.random).random_range(0..=knobs.jitter_ms);
@@ -235,7 +236,7 @@
         if !latency.is_zero() {
             tokio::time::sleep(latency).await;
         }
-        self.reply(&ask, &knobs).await
+        self.reply(&params, &knobs).await
     }
 
     fn refuse(&self) -> http::Response<http_server::Body> {
@@ -245,61 +246,64 @@
         response
     }
 
-    /// Writes the execution into the ledger; `false` if its key is there already.
-    fn record(&self, ask: &Ask) -> bool {
+    /// Records the execution in the ledger; returns `false` if its key is already recorded.
+    fn record(&self, params: &Params) -> bool {
         let mut ledger = lock(&self.ledger);
-        if let Some(key) = &ask.key {
+        if let Some(key) = &params.key {
             if ledger.keys.contains_key(key) {
                 return false;
             }
             ledger.keys.insert(key.clone(), 1);
         }
         ledger.executed += 1;
-        if ledger.attempts.len() < ATTEMPTS_KEPT {
-            *ledger.attempts.entry(ask.attempt.clone()).or_default() += 1;
+        if ledger.attempts.len() < MAX_RECORDED_ATTEMPTS {
+            *ledger.attempts.entry(params.attempt.clone()).or_default() += 1;
         }
         true
     }
 
-    async fn reply(&self, ask: &Ask, knobs: &Knobs) -> Option<http::Response<http_server::Body>> {
-        let bytes = self.reply_bytes(ask, knobs);
-        match knobs.manner {
-            Manner::Proper | Manner::Others => Some(http_server::answer(200, bytes)),
-            Manner::Hang => std::future::pending().await,
-            Manner::Garbage => Some(http_server::answer(200, "{ this is no answer")),
-            Manner::Half => {
+    async fn reply(&self, params: &Params, knobs: &Knobs) -> Option<http::Response<http_server::Body>> {
+        let bytes = self.reply_bytes(params, knobs);
+        match knobs.behaviour {
+            Behaviour::Proper | Behaviour::Others => Some(http_server::answer(200, bytes)),
+            Behaviour::Hang => std::future::pending().await,
+            Behaviour::Garbage => Some(http_server::answer(200, "{ this is no answer")),
+            Behaviour::Half => {
                 let mut response = http_server::answer(200, bytes.slice(0..bytes.len() / 2));
                 response.headers_mut().insert(http::header::CONTENT_LENGTH, bytes.len().into());
                 Some(response)
             }
-            Manner::Endless => Some(http::Response::new(BodyExt::boxed(Endless))),
-            Manner::Shed => Some(self.refuse()),
+            Behaviour::Endless => Some(http::Response::new(BodyExt::boxed(Endless))),
+            Behaviour::Shed => Some(self.refuse()),
         }
     }
 
-    fn reply_bytes(&self, ask: &Ask, knobs: &Knobs) -> Bytes {
-        let is_held = ask.want.is_some() && ask.want == knobs.held;
-        let version = if is_held { ask.want.unwrap_or(knobs.version) } else { knobs.version };
-        let other = if is_held { Some(knobs.version) } else { knobs.held };
+    fn reply_bytes(&self, params: &Params, knobs: &Knobs) -> Bytes {
+        let is_held_version = params.wanted_version.is_some() && params.wanted_version == knobs.held;
+        let version = if is_held_version { params.wanted_version.unwrap_or(knobs.version) } else { knobs.version };
+        let other_version = if is_held_version { Some(knobs.version) } else { knobs.held };
         let snapshot = |version| view::Snapshot { epoch: knobs.epoch, version };
-        let attempt =
-            if knobs.manner == Manner::Others { CompactString::const_new("f00-0-a0.0") } else { ask.attempt.clone() };
-        let hits: Vec<_> = (0..knobs.hits).map(|hit| format!("{}-{version}-{hit}", ask.shard)).collect();
+        let attempt = if knobs.behaviour == Behaviour::Others {
+            CompactString::const_new("f00-0-a0.0")
+        } else {
+            params.attempt.clone()
+        };
+        let hits: Vec<_> = (0..knobs.hits).map(|hit| format!("{}-{version}-{hit}", params.shard)).collect();
         let hits = serde_json::value::to_raw_value(&hits).unwrap_or_else(|_| RawValue::NULL.to_owned());
         let reply = leaf::Reply {
             attempt,
-            shard: ask.shard.clone(),
+            shard: params.shard.clone(),
             snapshot: snapshot(version),
-            held: other.map(snapshot),
+            held: other_version.map(snapshot),
             count: knobs.hits,
-            load: Some(self.waiting.load(atomic::Ordering::SeqCst)),
+            load: Some(self.in_flight.load(atomic::Ordering::SeqCst)),
             hits: &hits,
         };
         serde_json::to_vec(&reply).unwrap_or_default().into()
     }
 }
 
-/// A body that goes on until the reader has enough.
+/// A response body without end.
 struct Endless;
 
 impl body::Body for Endless {
@@ -315,17 +319,17 @@
 }
 
 #[derive(Debug)]
-struct Ask {
+struct Params {
     attempt: CompactString,
     shard: CompactString,
     key: Option<CompactString>,
     epoch: Option<u64>,
-    want: Option<u64>,
+    wanted_version: Option<u64>,
     deadline_ms: Option<u64>,
 }
 
-impl Ask {
-    fn of(headers: &http::HeaderMap) -> Self {
+impl Params {
+    fn from_headers(headers: &http::HeaderMap) -> Self {
         let text =
             |name| headers.get(name).and_then(|value: &http::HeaderValue| value.to_str().ok()).map(CompactString::from);
         let number = |name| text(name).and_then(|value| value.parse().ok());
@@ -334,7 +338,7 @@
             shard: text(leaf::SHARD).unwrap_or_default(),
             key: text(leaf::KEY),
             epoch: number(leaf::EPOCH),
-            want: number(leaf::WANT),
+            wanted_version: number(leaf::WANT),
             deadline_ms: number(leaf::DEADLINE),
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins of what surrounds the system: a backend server ([`leaf`]) and the platform's
-//! configuration service ([`platform`]).
+//! Test doubles of the external systems: a backend server ([`leaf`]) and the platform's configuration
+//! service ([`platform`]).
 //!
-//! [`replica`] and [`registry`] are the same of the users' platform, and speak it through its package.
+//! [`replica`] and [`registry`] are the counterparts on the users' platform, and use its package as protocol.
 //!
-//! They follow the published protocols of the wire package, keep a ledger of what they did, and can
-//! be told to misbehave. Each is a library for tests and a cargo example for separate processes.
+//! They follow the published protocols of the wire package, record what they did, and can be set to
+//! misbehave. Tests use them as a library; cargo examples run them as separate processes.
 
 pub mod http_server;
 pub mod leaf;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration service: reads and watches, counted; it can be away or stale.
+//! The platform's configuration service: serves and counts reads and watches; it can be unavailable or stale.
 //!
-//! `PUT /admin/value/KEY` publishes, as operators and the platform do by their own means;
-//! `POST /admin/mode` takes a [`Mode`] in JSON; `GET /admin/stats` gives [`Stats`].
+//! `PUT /admin/value/KEY` publishes a value, which operators and the platform do by other means in production;
+//! `POST /admin/mode` takes a [`Mode`] in JSON; `GET /admin/stats` returns [`Stats`].
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -20,45 +20,45 @@
 
 use crate::http_server;
 
-/// How the platform behaves.
+/// How the platform handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// As it should.
+    /// Follows the protocol.
     #[default]
     Proper,
-    /// Cuts every connection.
+    /// Closes every connection without a response, except on `/admin`.
     Away,
-    /// Goes on giving the values of the moment in which this was set.
+    /// Keeps serving the values of the time at which this mode was set.
     Stale,
 }
 
-/// Calls since the start.
+/// Call counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads.
+    /// Number of reads.
     pub reads: u64,
-    /// Watches.
+    /// Number of watches.
     pub watches: u64,
-    /// Bytes of values given.
+    /// Bytes of values served.
     pub bytes: u64,
 }
 
 #[derive(Debug, Default)]
 struct Store {
     values: IndexMap<CompactString, Arc<str>>,
-    stale: Option<IndexMap<CompactString, Arc<str>>>,
+    stale_values: Option<IndexMap<CompactString, Arc<str>>>,
     mode: Mode,
     stats: Stats,
 }
 
 impl Store {
     fn value(&self, key: &str) -> Option<Arc<str>> {
-        self.stale.as_ref().unwrap_or(&self.values).get(key).cloned()
+        self.stale_values.as_ref().unwrap_or(&self.values).get(key).cloned()
     }
 }
 
-/// A platform that runs.
+/// A running platform.
 #[derive(Debug, Default)]
 pub struct Platform {
     store: Mutex<Store>,
@@ -66,12 +66,12 @@
 }
 
 impl Platform {
-    /// Starts a platform on `listener`, in the runtime that this is called in.
+    /// Starts a platform on `listener`, in the current Tokio runtime.
     pub fn start(listener: net::TcpListener) -> Arc<Self> {
         let platform = Arc::new(Self::default());
         let handler = {
             let platform = Arc::clone(&platform);
-            Arc::new(move |request| Box::pin(Arc::clone(&platform).handle(request)) as http_server::Pending)
+            Arc::new(move |request| Box::pin(Arc::clone(&platform).handle(request)) as http_server::ResponseFuture)
         };
         task::spawn(http_server::serve(listener, u32::MAX, Arc::default(), handler));
         platform
@@ -81,22 +81,22 @@
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes a value and wakes the watches.
+    /// Publishes `value` under `key` and wakes pending watches.
     pub fn put(&self, key: &str, value: &str) {
         self.lock().values.insert(CompactString::from(key), Arc::from(value));
         self.changed.notify_waiters();
     }
 
-    /// Changes the behaviour.
+    /// Sets how later calls are handled, and wakes pending watches.
     pub fn set(&self, mode: Mode) {
         let mut store = self.lock();
         store.mode = mode;
-        store.stale = (mode == Mode::Stale).then(|| store.values.clone());
+        store.stale_values = (mode == Mode::Stale).then(|| store.values.clone());
         drop(store);
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Returns the call counters.
     pub fn stats(&self) -> Stats {
         self.lock().stats
     }
@@ -144,7 +144,7 @@
 
     async fn watch(&self, key: &str, after: u64, wait_ms: u64) -> Option<http::Response<http_server::Body>> {
         self.lock().stats.watches += 1;
-        let until = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
+        let deadline = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
         loop {
             let changed = self.changed.notified();
             let value = self.lock().value(key);
@@ -153,8 +153,8 @@
             }
             let version =
                 value.as_deref().and_then(|text| document::manifest(text).ok()).map(|manifest| manifest.version);
-            let is_news = version.is_some_and(|version| version != after);
-            if is_news || tokio::time::timeout_at(until, changed).await.is_err() {
+            let is_new_version = version.is_some_and(|version| version != after);
+            if is_new_version || tokio::time::timeout_at(deadline, changed).await.is_err() {
                 let Some(value) = value else {
                     return Some(http_server::answer(404, "no such key"));
                 };
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Publishes `parts` and then the manifest that names them as the whole of the catalog.
+    /// Publishes `parts`, then a manifest that lists exactly these as the catalog's parts.
     pub fn publish(&self, kind: catalog::Kind, version: u64, parts: &[(CompactString, String)]) {
         for (key, text) in parts {
             self.put(key, text);
--- a/crates/standin/src/publish.rs
+++ b/crates/standin/src/publish.rs
@@ -1,4 +1,4 @@
-//! What operators and the platform publish, made for a fleet of stand-ins.
+//! Builds the documents that operators and the platform publish, for a fleet of test backends.
 
 use std::{fmt::Write, net};
 
@@ -6,7 +6,7 @@
 use shallothub_core::{catalog, plan};
 use shallothub_settings::document;
 
-/// The manifest of `parts` in YAML.
+/// Builds the YAML manifest of `parts`, given as pairs of key and text.
 pub fn manifest(version: u64, parts: &[(CompactString, String)]) -> String {
     let mut manifest = catalog::Manifest { version, ..catalog::Manifest::default() };
     for (key, text) in parts {
@@ -15,25 +15,25 @@
     serde_saphyr::to_string(&manifest).unwrap_or_default()
 }
 
-/// A service of `shards` shards with `replicas` replicas each, one server a replica.
+/// A service of `shards` shards with `replicas` replicas each; every replica is a server of its own.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its name; servers are called NAME-SHARD-REPLICA.
+    /// Service name; servers are named NAME-SHARD-REPLICA.
     pub name: CompactString,
-    /// Partition epoch.
+    /// Partition epoch of the service.
     pub epoch: u64,
-    /// Shards.
+    /// Number of shards.
     pub shards: u32,
-    /// Replicas of each.
+    /// Number of replicas of each shard.
     pub replicas: u32,
-    /// Connections that a server accepts.
+    /// Maximum number of open connections to a server.
     pub connections: u32,
-    /// Slots of a server.
+    /// Maximum number of concurrent requests on a server.
     pub slots: u32,
 }
 
 impl Service {
-    /// The names of its servers, by shard and then by replica.
+    /// Returns the server names, ordered by shard and then by replica.
     pub fn servers(&self) -> Vec<CompactString> {
         let mut names = Vec::new();
         for shard in 0..self.shards {
@@ -44,7 +44,7 @@
         names
     }
 
-    /// The operators' document of this service.
+    /// Builds the operators' YAML document for this service.
     pub fn document(&self, entry_hosts_most: u32) -> String {
         let mut text = format!("entry_hosts_most: {entry_hosts_most}\nservices:\n");
         let _ = writeln!(text, "  - name: {}\n    epoch: {}\n    shards:", self.name, self.epoch);
@@ -62,13 +62,13 @@
     }
 }
 
-/// A part of the list of hosts in YAML.
+/// Builds a part of the host list in YAML.
 pub fn hosts(entry_hosts: &[plan::EntryHost], backend_servers: &[plan::BackendServer]) -> String {
     let hosts = document::Hosts { entry_hosts: entry_hosts.to_vec(), backend_servers: backend_servers.to_vec() };
     serde_saphyr::to_string(&hosts).unwrap_or_default()
 }
 
-/// A live backend server at `address`.
+/// Returns the entry of a live backend server at `address`.
 pub fn backend_server(name: &CompactString, data_centre: &str, address: net::SocketAddr) -> plan::BackendServer {
     plan::BackendServer {
         name: name.clone(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// A live entry host that listens for others at `peer`.
+/// Returns the entry of a live entry host whose address for other hosts is `peer`.
 pub fn entry_host(name: &str, data_centre: &str, peer: net::SocketAddr) -> plan::EntryHost {
     plan::EntryHost {
         name: CompactString::from(name),
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -1,5 +1,5 @@
-//! The store of a platform where servers register themselves: a keyspace with revisions that is read
-//! whole and followed by its changes. It can be away, silent or slow, and forget its history.
+//! The key-value store of a platform where servers register themselves: clients list all items and then
+//! watch for changes by revision. It can be unavailable, hang, respond slowly, and compact its history.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -16,22 +16,22 @@
 
 use crate::http_server;
 
-/// Items of one page.
-const PAGE: usize = 500;
+/// Maximum number of items in one page of a listing.
+const MAX_PAGE_ITEMS: usize = 500;
 
-/// How the store behaves.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Follows the protocol.
     #[default]
     Proper,
-    /// Answers that it is busy.
+    /// Answers every call with status 503.
     Busy,
-    /// Cuts every connection.
+    /// Closes every connection without a response.
     Away,
-    /// Says nothing.
+    /// Accepts calls and never responds.
     Silent,
-    /// Takes so many ms longer.
+    /// Delays every call by this many milliseconds.
     Slow(u64),
 }
 
@@ -40,20 +40,20 @@
     items: IndexMap<CompactString, mirror::Item>,
     log: Vec<mirror::Event>,
     revision: u64,
-    forgotten: u64,
+    compacted_revision: u64,
     era: u64,
     mode: Mode,
     calls: u64,
 }
 
-/// A backup of a store.
+/// A snapshot of a store's items and revision, for [`Registry::restore`].
 #[derive(Clone, Debug)]
 pub struct Backup {
     items: IndexMap<CompactString, mirror::Item>,
     revision: u64,
 }
 
-/// A store that runs.
+/// A running store.
 #[derive(Debug, Default)]
 pub struct Registry {
     state: Mutex<State>,
@@ -61,12 +61,12 @@
 }
 
 impl Registry {
-    /// Starts a store on `listener`, in the runtime that this is called in.
+    /// Starts a store on `listener`, in the current Tokio runtime.
     pub fn start(listener: net::TcpListener) -> Arc<Self> {
         let registry = Arc::new(Self::default());
         let handler = {
             let registry = Arc::clone(&registry);
-            Arc::new(move |request| Box::pin(Arc::clone(&registry).handle(request)) as http_server::Pending)
+            Arc::new(move |request| Box::pin(Arc::clone(&registry).handle(request)) as http_server::ResponseFuture)
         };
         task::spawn(http_server::serve(listener, u32::MAX, Arc::default(), handler));
         registry
@@ -76,7 +76,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes an item as it is.
+    /// Writes `text` under `key`, in a new revision.
     pub fn put(&self, key: &str, text: &str) {
         let mut state = self.lock();
         state.revision += 1;
@@ -87,7 +87,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Removes an item.
+    /// Removes the item at `key`, in a new revision.
     pub fn remove(&self, key: &str) {
         let mut state = self.lock();
         state.revision += 1;
@@ -98,24 +98,24 @@
         self.changed.notify_waiters();
     }
 
-    /// Writes the operators' configuration.
+    /// Writes `routing` as the operators' configuration.
     pub fn configure(&self, routing: &plan::Routing) {
         let (key, text) = opposite::configuration(routing);
         self.put(&key, &text);
     }
 
-    /// Writes a server's entry.
+    /// Creates or updates the entry of a server.
     pub fn register(&self, leaf: &plan::Leaf) {
         let (key, text) = opposite::entry(leaf);
         self.put(&key, &text);
     }
 
-    /// Removes a server's entry.
+    /// Removes the entry of a server.
     pub fn unregister(&self, leaf: &plan::Leaf) {
         self.remove(&opposite::entry(leaf).0);
     }
 
-    /// Evacuates a data centre, or takes that back.
+    /// Marks a data centre as evacuated, or removes the mark.
     pub fn set_evacuated(&self, data_centre: &str, is_evacuated: bool) {
         let (key, text) = opposite::evacuation(data_centre);
         match is_evacuated {
@@ -124,40 +124,40 @@
         }
     }
 
-    /// Drops the history; watches that wait hear that it is gone.
-    pub fn forget(&self) {
+    /// Compacts the history: pending watches from an earlier revision fail with status 410.
+    pub fn compact(&self) {
         let mut state = self.lock();
-        state.forgotten = state.revision;
+        state.compacted_revision = state.revision;
         state.log.clear();
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Takes a backup of the store.
+    /// Returns a copy of the current items and revision.
     pub fn backup(&self) -> Backup {
         let state = self.lock();
         Backup { items: state.items.clone(), revision: state.revision }
     }
 
-    /// Restores the store from `backup`: later writes are lost, and their revisions are reused.
+    /// Restores the store from `backup`: later writes are lost, and their revision numbers are reused.
     pub fn restore(&self, backup: Backup) {
         let mut state = self.lock();
         state.items = backup.items;
         state.revision = backup.revision;
-        state.forgotten = state.forgotten.min(backup.revision);
+        state.compacted_revision = state.compacted_revision.min(backup.revision);
         state.log.retain(|event| revision(event) <= backup.revision);
         state.era += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Changes the behaviour.
+    /// Sets how later calls are handled, and wakes pending watches.
     pub fn set(&self, mode: Mode) {
         self.lock().mode = mode;
         self.changed.notify_waiters();
     }
 
-    /// Calls so far.
+    /// Number of calls received since the start.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
@@ -177,11 +177,11 @@
             Mode::Busy => return Some(http_server::answer(503, "busy")),
             Mode::Away => return None,
             Mode::Silent => std::future::pending().await,
-            Mode::Slow(span) => tokio::time::sleep(time::Duration::from_millis(span)).await,
+            Mode::Slow(delay_ms) => tokio::time::sleep(time::Duration::from_millis(delay_ms)).await,
         }
         match opposite::Call::parse(&target) {
             Some(opposite::Call::List { after }) => Some(self.page(after.as_deref())),
-            Some(opposite::Call::Follow { after, wait_ms }) => self.follow(after, wait_ms).await,
+            Some(opposite::Call::Follow { after, wait_ms }) => self.watch(after, wait_ms).await,
             None => Some(http_server::answer(404, "no such call")),
         }
     }
@@ -191,13 +191,13 @@
         let mut keys: Vec<&CompactString> = state.items.keys().collect();
         keys.sort_unstable();
         keys.retain(|key| after.is_none_or(|after| key.as_str() > after));
-        let items = keys.iter().take(PAGE).map(|key| state.items[*key].clone()).collect();
+        let items = keys.iter().take(MAX_PAGE_ITEMS).map(|key| state.items[*key].clone()).collect();
         let (at, era) = (state.revision, state.era);
-        answer(200, opposite::page(&mirror::Page { items, has_more: keys.len() > PAGE, at, era }), era)
+        answer(200, opposite::page(&mirror::Page { items, has_more: keys.len() > MAX_PAGE_ITEMS, at, era }), era)
     }
 
-    async fn follow(&self, after: u64, wait_ms: u64) -> Option<http::Response<http_server::Body>> {
-        let end = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
+    async fn watch(&self, after: u64, wait_ms: u64) -> Option<http::Response<http_server::Body>> {
+        let deadline = tokio::time::Instant::now() + time::Duration::from_millis(wait_ms);
         loop {
             let changed = self.changed.notified();
             {
@@ -205,16 +205,16 @@
                 if state.mode == Mode::Away {
                     return None;
                 }
-                if after < state.forgotten || after > state.revision {
+                if after < state.compacted_revision || after > state.revision {
                     return Some(answer(410, "that history is gone", state.era));
                 }
-                if after < state.revision || tokio::time::Instant::now() >= end {
+                if after < state.revision || tokio::time::Instant::now() >= deadline {
                     let events: Vec<_> = state.log.iter().filter(|event| revision(event) > after).cloned().collect();
                     return Some(answer(200, opposite::changes(&events, state.revision), state.era));
                 }
             }
-            // Whether it was a change or the end of the wait is looked at anew.
-            tokio::time::timeout_at(end, changed).await.ok();
+            // The next iteration tells a change from a time-out.
+            tokio::time::timeout_at(deadline, changed).await.ok();
         }
     }
 }
@@ -226,7 +226,7 @@
     }
 }
 
-/// An answer with the header for `era`.
+/// A response with the header for `era`.
 fn answer(status: u16, bytes: impl Into<Bytes>, era: u64) -> http::Response<http_server::Body> {
     let mut response = http_server::answer(status, bytes);
     let (name, value) = opposite::era_header(era);
--- a/crates/standin/src/replica.rs
+++ b/crates/standin/src/replica.rs
@@ -1,8 +1,8 @@
 //! A backend server of a platform on which requests are routed and servers register themselves.
 //!
-//! It speaks through the platform's own types, runs what it is asked within its slots, signs its
-//! answers so that a judge can tell whose they are, keeps a ledger, and can be told to misbehave in
-//! ways that only bytes can show: broken off, doubled, without a length, for somebody else.
+//! It uses the platform's own types, runs requests within its slots, signs its responses so that a
+//! checker can attribute them, keeps a ledger, and can be set to misbehave at the byte level:
+//! truncated, duplicated or unframed responses, and responses for another request.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError, atomic},
@@ -19,91 +19,91 @@
 };
 use xxhash_rust::xxh3;
 
-/// Records of one part.
-pub const RECORDS: usize = 8;
-/// Headers that are read of a request.
-const HEADERS_MOST: usize = 64;
-/// Slack that a request may be longer under way than its time says before it counts as late, in ms.
+/// Number of records in the part that one replica returns.
+pub const RECORDS_PER_PART: usize = 8;
+/// Maximum number of headers in a request.
+const MAX_HEADERS: usize = 64;
+/// Time by which a request may exceed its deadline before it counts as late, in ms.
 const LATE_SLACK_MS: u64 = 500;
 
-/// How a replica answers.
+/// How a replica responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
-    /// As it should.
+pub enum Behaviour {
+    /// Follows the protocol.
     #[default]
     Proper,
-    /// Runs the request and fails.
+    /// Runs the request and responds with status 500.
     Failing,
-    /// Refuses every request before running it.
+    /// Refuses every request before running it, with status 503.
     Refusing,
-    /// Runs the request and says nothing.
+    /// Runs the request and never responds.
     Mute,
-    /// Runs the request and breaks off in the middle of the answer.
+    /// Runs the request and closes the connection halfway through the body.
     BreakingOff,
-    /// Runs the request and resets the connection instead of answering.
+    /// Runs the request and resets the connection instead of responding.
     Resetting,
-    /// Answers with bytes that are no answer.
+    /// Sends bytes that are not an HTTP response.
     Garbled,
-    /// Sends a second whole answer after the first.
+    /// Sends the complete response twice.
     Doubled,
-    /// Answers for another request.
+    /// Responds with the id and signature of another request.
     Mistaken,
-    /// Answers without a length, and ends the answer by closing.
+    /// Responds without a length, and marks the end of the body by closing.
     Unframed,
-    /// Answers before it has read the body, and reads it later.
+    /// Responds before it has read the request body, and reads it afterwards.
     Early,
-    /// Forgets a connection after its first answer, without a word: what comes on it later is reset unread.
+    /// Silently drops a connection's state after the first response: later requests on it get a reset, unread.
     Forgetful,
 }
 
-/// What can be set while a replica runs.
+/// Settings that can change while a replica runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Knobs {
-    /// How it answers.
-    pub manner: Manner,
-    /// One in so many requests is answered in that manner, the others properly; 1 is all.
+    /// How the replica responds.
+    pub behaviour: Behaviour,
+    /// One in this many requests is handled with that behaviour, the others properly; 1 means all.
     pub one_in: u64,
-    /// Time that a request takes, in ms.
+    /// Duration of a request, in ms.
     pub work_ms: u64,
-    /// It dies of requests whose path holds this.
-    pub dies_of: Option<&'static str>,
+    /// The replica crashes on requests whose path contains this; `None` never crashes.
+    pub crashes_on: Option<&'static str>,
     /// Id to use instead of the replica's own, to simulate a restart at the same address.
     pub new_id: Option<&'static str>,
 }
 
 impl Default for Knobs {
     fn default() -> Self {
-        Self { manner: Manner::Proper, one_in: 1, work_ms: 2, dies_of: None, new_id: None }
+        Self { behaviour: Behaviour::Proper, one_in: 1, work_ms: 2, crashes_on: None, new_id: None }
     }
 }
 
-/// What a replica did.
+/// Counters of what a replica did since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// How often it ran each request, by the caller's id.
+    /// Number of executions of each request, by the caller's request id.
     pub runs: IndexMap<CompactString, u32>,
-    /// Requests that it refused before running them.
+    /// Requests refused before execution.
     pub refused: u64,
-    /// Requests that were meant for another replica.
+    /// Requests addressed to another replica.
     pub misdirected: u64,
-    /// Requests whose caller went away while it worked on them.
-    pub left: u64,
-    /// Requests that ran on for long after their time.
+    /// Requests whose client disconnected during execution.
+    pub abandoned: u64,
+    /// Requests that ran well beyond their deadline.
     pub late: u64,
-    /// When the last request came.
-    pub last: Option<time::Instant>,
-    /// Requests without an id.
-    pub unnamed: u64,
-    /// Whether it died of a request.
-    pub died: bool,
+    /// Arrival time of the latest request; `None` before the first.
+    pub last_request_at: Option<time::Instant>,
+    /// Requests that carried no id.
+    pub without_id: u64,
+    /// Whether a request crashed the replica.
+    pub has_crashed: bool,
 }
 
-/// A replica that runs.
+/// A running replica.
 #[derive(Debug)]
 pub struct Replica {
-    /// Its id, new for each start.
+    /// Instance id, unique to each start.
     pub id: CompactString,
-    /// Its service.
+    /// Service that the replica belongs to.
     pub service: CompactString,
     slots: sync::Semaphore,
     slot_count: u32,
@@ -119,42 +119,42 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The records of a part, the same for each replica of a service.
+/// Builds the records of a part, which are the same for each replica of a service.
 pub fn records(service: &str, request: &str) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(RECORDS * merge::RECORD_BYTES);
-    for number in 0..RECORDS {
+    let mut bytes = Vec::with_capacity(RECORDS_PER_PART * merge::RECORD_BYTES);
+    for number in 0..RECORDS_PER_PART {
         let text = format!("{service} {request} {number}");
         bytes.extend_from_slice(&xxh3::xxh3_128(text.as_bytes()).to_be_bytes());
     }
     bytes
 }
 
-/// The body of an answer that is handed on whole.
-pub fn whole(service: &str, request: &str) -> String {
+/// Builds the body of a response that is passed through unmerged.
+pub fn whole_body(service: &str, request: &str) -> String {
     format!("{service} answers {request}\n")
 }
 
-/// A signature: whose answer, to which request, of which service.
+/// Builds a signature from the replica's id, the request id and the service.
 pub fn signature(id: &str, request: &str, service: &str) -> String {
     format!("{id}.{request}.{service}")
 }
 
-/// The request and the service in a signature.
-pub fn signed(signature: &str) -> Option<(&str, &str)> {
+/// Returns the request id and the service of a signature; `None` if it is malformed.
+pub fn parse_signature(signature: &str) -> Option<(&str, &str)> {
     let mut parts = signature.splitn(3, '.');
     parts.next()?;
     Some((parts.next()?, parts.next()?))
 }
 
-struct Asked {
+struct Incoming {
     method: String,
     target: String,
-    told: opposite::Told,
-    body_left: usize,
+    headers: opposite::Told,
+    content_length: usize,
 }
 
 impl Replica {
-    /// Starts a replica on `listener`, in the runtime that this is called in.
+    /// Starts a replica on `listener`, in the current Tokio runtime.
     pub fn start(id: &str, service: &str, slots: u32, listener: net::TcpListener) -> Arc<Self> {
         let replica = Arc::new(Self {
             id: id.into(),
@@ -172,17 +172,17 @@
         replica
     }
 
-    /// Changes the knobs.
+    /// Applies `change` to the knobs, for later requests.
     pub fn set(&self, change: impl FnOnce(&mut Knobs)) {
         change(&mut lock(&self.knobs));
     }
 
-    /// What it did so far.
+    /// Returns a copy of the counters.
     pub fn ledger(&self) -> Ledger {
         lock(&self.ledger).clone()
     }
 
-    /// Crashes: the listener and all connections end.
+    /// Simulates a crash: closes the listener and all connections.
     pub fn crash(&self) {
         self.stopped.notify_waiters();
     }
@@ -195,7 +195,7 @@
                     let replica = Arc::clone(&self);
                     task::spawn(async move {
                         tokio::select! {
-                            // An error is a peer that went away or a break on purpose; both are expected.
+                            // An error is a peer that disconnected or a deliberate close; both are expected.
                             _ = Arc::clone(&replica).serve(stream) => {}
                             () = replica.stopped.notified() => {}
                         }
@@ -209,27 +209,27 @@
     async fn serve(self: Arc<Self>, mut stream: net::TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let mut buffer = Vec::new();
-        let mut is_kept = false;
+        let mut is_reused = false;
         loop {
-            let asked = read_head(&mut stream, &mut buffer).await?;
-            if std::mem::replace(&mut is_kept, true) && lock(&self.knobs).manner == Manner::Forgetful {
+            let incoming = read_head(&mut stream, &mut buffer).await?;
+            if std::mem::replace(&mut is_reused, true) && lock(&self.knobs).behaviour == Behaviour::Forgetful {
                 reset_on_drop(&stream);
                 return None;
             }
-            let is_odd = {
+            let is_misbehaving = {
                 let knobs = *lock(&self.knobs);
                 let number = self.served.fetch_add(1, atomic::Ordering::SeqCst);
                 number.is_multiple_of(knobs.one_in.max(1))
             };
-            let manner = if is_odd { lock(&self.knobs).manner } else { Manner::Proper };
-            if manner != Manner::Early {
-                read_body(&mut stream, &mut buffer, asked.body_left).await?;
+            let behaviour = if is_misbehaving { lock(&self.knobs).behaviour } else { Behaviour::Proper };
+            if behaviour != Behaviour::Early {
+                read_body(&mut stream, &mut buffer, incoming.content_length).await?;
             }
-            let keeps = self.answer(&mut stream, &asked, manner).await?;
-            if manner == Manner::Early {
-                read_body(&mut stream, &mut buffer, asked.body_left).await?;
+            let is_kept_alive = self.answer(&mut stream, &incoming, behaviour).await?;
+            if behaviour == Behaviour::Early {
+                read_body(&mut stream, &mut buffer, incoming.content_length).await?;
             }
-            if !keeps {
+            if !is_kept_alive {
                 return None;
             }
         }
@@ -240,29 +240,29 @@
         new_id.map_or_else(|| self.id.clone(), CompactString::from)
     }
 
-    /// Answers a request; whether the connection goes on.
-    async fn answer(&self, stream: &mut net::TcpStream, asked: &Asked, manner: Manner) -> Option<bool> {
-        lock(&self.ledger).last = Some(time::Instant::now());
-        if asked.target == "/health" {
+    /// Responds to a request; returns whether to keep the connection open.
+    async fn answer(&self, stream: &mut net::TcpStream, incoming: &Incoming, behaviour: Behaviour) -> Option<bool> {
+        lock(&self.ledger).last_request_at = Some(time::Instant::now());
+        if incoming.target == "/health" {
             stream.write_all(&head(200, &http::HeaderMap::new(), Some(0))).await.ok()?;
             return Some(true);
         }
-        let request = &asked.told.request;
-        if asked.told.instance.as_ref().is_some_and(|instance| *instance != self.current_id()) {
+        let request = &incoming.headers.request;
+        if incoming.headers.instance.as_ref().is_some_and(|instance| *instance != self.current_id()) {
             lock(&self.ledger).misdirected += 1;
             return self.refuse(stream, request, 421).await;
         }
         if request.is_empty() {
-            lock(&self.ledger).unnamed += 1;
+            lock(&self.ledger).without_id += 1;
             return self.refuse(stream, request, 400).await;
         }
         self.waiting.fetch_add(1, atomic::Ordering::SeqCst);
         let slot = self.slots.acquire().await;
-        let waits = self.waiting.fetch_sub(1, atomic::Ordering::SeqCst) > self.slot_count * 6;
-        if manner == Manner::Refusing || waits || slot.is_err() {
+        let is_overloaded = self.waiting.fetch_sub(1, atomic::Ordering::SeqCst) > self.slot_count * 6;
+        if behaviour == Behaviour::Refusing || is_overloaded || slot.is_err() {
             return self.refuse(stream, request, 503).await;
         }
-        self.run(stream, asked, manner).await
+        self.run(stream, incoming, behaviour).await
     }
 
     async fn refuse(&self, stream: &mut net::TcpStream, request: &str, status: u16) -> Option<bool> {
@@ -277,78 +277,79 @@
         [load(&self.running), load(&self.waiting), self.slot_count]
     }
 
-    async fn run(&self, stream: &mut net::TcpStream, asked: &Asked, manner: Manner) -> Option<bool> {
-        let request = &asked.told.request;
-        let begun = time::Instant::now();
+    async fn run(&self, stream: &mut net::TcpStream, incoming: &Incoming, behaviour: Behaviour) -> Option<bool> {
+        let request = &incoming.headers.request;
+        let started = time::Instant::now();
         *lock(&self.ledger).runs.entry(request.clone()).or_default() += 1;
         self.running.fetch_add(1, atomic::Ordering::SeqCst);
         let work = time::Duration::from_millis(lock(&self.knobs).work_ms);
-        let is_left = tokio::select! {
+        let is_abandoned = tokio::select! {
             () = tokio::time::sleep(work) => false,
-            () = closed(stream) => true,
+            () = wait_closed(stream) => true,
         };
         self.running.fetch_sub(1, atomic::Ordering::SeqCst);
-        if is_left {
-            lock(&self.ledger).left += 1;
+        if is_abandoned {
+            lock(&self.ledger).abandoned += 1;
             return None;
         }
-        if lock(&self.knobs).dies_of.is_some_and(|text| asked.target.contains(text)) {
-            lock(&self.ledger).died = true;
+        if lock(&self.knobs).crashes_on.is_some_and(|text| incoming.target.contains(text)) {
+            lock(&self.ledger).has_crashed = true;
             self.crash();
             return None;
         }
-        let is_late = asked.told.left_ms.is_some_and(|left| begun.elapsed().as_millis() as u64 > left + LATE_SLACK_MS);
+        let is_late =
+            incoming.headers.left_ms.is_some_and(|ms| started.elapsed().as_millis() as u64 > ms + LATE_SLACK_MS);
         lock(&self.ledger).late += u64::from(is_late);
-        self.reply(stream, asked, manner).await
+        self.reply(stream, incoming, behaviour).await
     }
 
-    async fn reply(&self, stream: &mut net::TcpStream, asked: &Asked, manner: Manner) -> Option<bool> {
-        let request = match manner {
-            Manner::Mistaken => CompactString::const_new("somebody-else"),
-            _ => asked.told.request.clone(),
+    async fn reply(&self, stream: &mut net::TcpStream, incoming: &Incoming, behaviour: Behaviour) -> Option<bool> {
+        let request = match behaviour {
+            Behaviour::Mistaken => CompactString::const_new("somebody-else"),
+            _ => incoming.headers.request.clone(),
         };
-        let status = if manner == Manner::Failing { 500 } else { 200 };
-        let body = if asked.target.contains("/gather/") {
+        let status = if behaviour == Behaviour::Failing { 500 } else { 200 };
+        let body = if incoming.target.contains("/gather/") {
             records(&self.service, &request)
         } else {
-            whole(&self.service, &request).into_bytes()
+            whole_body(&self.service, &request).into_bytes()
         };
-        let body = if asked.method == "HEAD" { Vec::new() } else { body };
+        let body = if incoming.method == "HEAD" { Vec::new() } else { body };
         let signature = signature(&self.current_id(), &request, &self.service);
         let headers = opposite::answer_headers(&request, Some(&signature), self.load());
-        let length = if manner == Manner::Unframed { None } else { Some(body.len()) };
+        let length = if behaviour == Behaviour::Unframed { None } else { Some(body.len()) };
         let mut bytes = head(status, &headers, length);
         bytes.extend_from_slice(&body);
-        match manner {
-            Manner::Mute => std::future::pending().await,
-            Manner::Resetting => {
+        match behaviour {
+            Behaviour::Mute => std::future::pending().await,
+            Behaviour::Resetting => {
                 reset_on_drop(stream);
                 return None;
             }
-            Manner::BreakingOff => bytes.truncate(bytes.len() - body.len() / 2),
-            Manner::Garbled => bytes = b"%%%% these bytes are no answer %%%%\r\n\r\n".to_vec(),
-            Manner::Doubled => bytes.extend_from_within(..),
+            Behaviour::BreakingOff => bytes.truncate(bytes.len() - body.len() / 2),
+            Behaviour::Garbled => bytes = b"%%%% these bytes are no answer %%%%\r\n\r\n".to_vec(),
+            Behaviour::Doubled => bytes.extend_from_within(..),
             _ => {}
         }
         stream.write_all(&bytes).await.ok()?;
-        let ends = matches!(manner, Manner::BreakingOff | Manner::Garbled | Manner::Unframed);
-        Some(!ends)
+        let is_closing = matches!(behaviour, Behaviour::BreakingOff | Behaviour::Garbled | Behaviour::Unframed);
+        Some(!is_closing)
     }
 }
 
-/// Lets the connection end with a reset.
+/// Makes the connection end with a reset when it is dropped.
 fn reset_on_drop(stream: &net::TcpStream) {
-    // Without the option it ends as usual, which the judge of the test then shows.
+    // If the option cannot be set, the connection ends as usual and the test's checks show it.
     socket2::SockRef::from(stream).set_linger(Some(time::Duration::ZERO)).ok();
 }
 
-/// Returns when the other side closes.
-async fn closed(stream: &net::TcpStream) {
+/// Completes when the peer closes the connection.
+async fn wait_closed(stream: &net::TcpStream) {
     let mut byte = [0];
     loop {
         match stream.peek(&mut byte).await {
             Ok(0) | Err(_) => return,
-            // Bytes of a next request: the other side is there.
+            // Bytes of the next request: the peer is still connected.
             Ok(_) => std::future::pending().await,
         }
     }
@@ -369,26 +370,26 @@
     text
 }
 
-async fn read_head(stream: &mut net::TcpStream, buffer: &mut Vec<u8>) -> Option<Asked> {
+async fn read_head(stream: &mut net::TcpStream, buffer: &mut Vec<u8>) -> Option<Incoming> {
     loop {
-        let mut rows = [httparse::EMPTY_HEADER; HEADERS_MOST];
-        let mut parsed = httparse::Request::new(&mut rows);
+        let mut header_slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut parsed = httparse::Request::new(&mut header_slots);
         if let httparse::Status::Complete(length) = parsed.parse(buffer).ok()? {
             let mut headers = http::HeaderMap::new();
-            for row in parsed.headers.iter() {
-                let name = http::HeaderName::from_bytes(row.name.as_bytes()).ok()?;
-                headers.append(name, http::HeaderValue::from_bytes(row.value).ok()?);
+            for header in parsed.headers.iter() {
+                let name = http::HeaderName::from_bytes(header.name.as_bytes()).ok()?;
+                headers.append(name, http::HeaderValue::from_bytes(header.value).ok()?);
             }
-            let body_left =
+            let content_length =
                 headers.get(http::header::CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.parse().ok());
-            let asked = Asked {
+            let incoming = Incoming {
                 method: parsed.method.unwrap_or_default().to_owned(),
                 target: parsed.path.unwrap_or_default().to_owned(),
-                told: opposite::Told::read(&headers),
-                body_left: body_left.unwrap_or_default(),
+                headers: opposite::Told::read(&headers),
+                content_length: content_length.unwrap_or_default(),
             };
             buffer.drain(..length);
-            return Some(asked);
+            return Some(incoming);
         }
         if stream.read_buf(buffer).await.ok()? == 0 {
             return None;
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use shallothub_platform::opposite;
 use shallothub_soak::{
-    client::{self, Client, End, Kind},
+    client::{self, Client, Kind, Outcome},
     deployment::{self, Deployment, Size},
 };
 use shallothub_standin::{registry, replica};
@@ -19,7 +19,7 @@
 mod operators;
 mod store;
 
-const SIZE: Size = Size { nodes: 0, shards: 4, replicas: 2, is_wide: false };
+const SIZE: Size = Size { nodes: 0, shards: 4, replicas: 2, has_two_data_centres: false };
 /// Searches in which a changed address must have been used.
 const MOVED_MOST: u32 = 500;
 /// Searches before a fault.
@@ -43,9 +43,9 @@
     Client::new(deployment.nodes[node].listen)
 }
 
-fn served(end: &End) -> usize {
+fn served(end: &Outcome) -> usize {
     match end {
-        End::Served { services, .. } => services.len(),
+        Outcome::Served { services, .. } => services.len(),
         _ => 0,
     }
 }
@@ -64,9 +64,9 @@
     let deployment = started("whole", 2).await;
     for node in 0..2 {
         let mut client = client(&deployment, node);
-        assert_eq!(served(&client.ask(Kind::Gather, &format!("g{node}")).await), 4);
-        assert_eq!(served(&client.ask(Kind::Read, &format!("r{node}")).await), 1);
-        assert_eq!(served(&client.ask(Kind::Write, &format!("w{node}")).await), 1);
+        assert_eq!(served(&client.send(Kind::Gather, &format!("g{node}")).await), 4);
+        assert_eq!(served(&client.send(Kind::Read, &format!("r{node}")).await), 1);
+        assert_eq!(served(&client.send(Kind::Write, &format!("w{node}")).await), 1);
         assert_eq!(runs(&deployment, &format!("w{node}")), 1);
     }
 }
@@ -74,63 +74,63 @@
 /// All leafs of one kind misbehave, each in its way. A search and a read are repeatable and must never
 /// show a wrong byte; a letter must never run twice, and is said not to have run only if it did not.
 #[rstest]
-#[case::failing(replica::Manner::Failing, &[500])]
-#[case::refusing(replica::Manner::Refusing, &[503])]
-#[case::breaking_off(replica::Manner::BreakingOff, &[502])]
-#[case::resetting(replica::Manner::Resetting, &[502])]
-#[case::garbled(replica::Manner::Garbled, &[502])]
-#[case::mistaken(replica::Manner::Mistaken, &[502])]
-#[case::doubled(replica::Manner::Doubled, &[])]
-#[case::unframed(replica::Manner::Unframed, &[])]
-#[case::early(replica::Manner::Early, &[])]
+#[case::failing(replica::Behaviour::Failing, &[500])]
+#[case::refusing(replica::Behaviour::Refusing, &[503])]
+#[case::breaking_off(replica::Behaviour::BreakingOff, &[502])]
+#[case::resetting(replica::Behaviour::Resetting, &[502])]
+#[case::garbled(replica::Behaviour::Garbled, &[502])]
+#[case::mistaken(replica::Behaviour::Mistaken, &[502])]
+#[case::doubled(replica::Behaviour::Doubled, &[])]
+#[case::unframed(replica::Behaviour::Unframed, &[])]
+#[case::early(replica::Behaviour::Early, &[])]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaf_s_misbehaviour_is_never_a_caller_s(#[case] manner: replica::Manner, #[case] told: &[u16]) {
+async fn a_leaf_s_misbehaviour_is_never_a_caller_s(#[case] manner: replica::Behaviour, #[case] told: &[u16]) {
     let deployment = started(&format!("manner-{manner:?}"), 1).await;
     for leaf in &deployment.leafs {
-        leaf.replica.set(|knobs| knobs.manner = manner);
+        leaf.replica.set(|knobs| knobs.behaviour = manner);
     }
     let mut client = client(&deployment, 0);
     for round in 0..4 {
         for kind in [Kind::Gather, Kind::Read, Kind::Write] {
             let name = format!("{}-{round}", kind.route());
-            let end = client.ask(kind, &name).await;
-            assert!(!matches!(end, End::Wrong(_)), "{kind:?}: {end:?}");
+            let end = client.send(kind, &name).await;
+            assert!(!matches!(end, Outcome::Wrong(_)), "{kind:?}: {end:?}");
             if kind != Kind::Write {
                 continue;
             }
             let count = runs(&deployment, &name);
             assert!(count <= 1, "a letter ran {count} times");
             match end {
-                End::Served { .. } => assert!(told.is_empty()),
+                Outcome::Served { .. } => assert!(told.is_empty()),
                 // A second answer that lies on the connection makes the next one unknown.
-                End::Told(502) if manner == replica::Manner::Doubled => {}
-                End::Told(status) => assert!(told.contains(&status), "told {status}"),
+                Outcome::Status(502) if manner == replica::Behaviour::Doubled => {}
+                Outcome::Status(status) => assert!(told.contains(&status), "told {status}"),
                 other => panic!("{other:?}"),
             }
-            assert!(manner != replica::Manner::Refusing || count == 0);
+            assert!(manner != replica::Behaviour::Refusing || count == 0);
         }
     }
 }
 
 /// One leaf of each service is bad, the other is well: callers do not notice.
 #[rstest]
-#[case(replica::Manner::Failing)]
-#[case(replica::Manner::Refusing)]
-#[case(replica::Manner::Resetting)]
-#[case(replica::Manner::Mute)]
+#[case(replica::Behaviour::Failing)]
+#[case(replica::Behaviour::Refusing)]
+#[case(replica::Behaviour::Resetting)]
+#[case(replica::Behaviour::Mute)]
 #[tokio::test(flavor = "multi_thread")]
-async fn one_bad_leaf_of_a_shard_is_not_noticed(#[case] manner: replica::Manner) {
+async fn one_bad_leaf_of_a_shard_is_not_noticed(#[case] manner: replica::Behaviour) {
     let deployment = started(&format!("one-bad-{manner:?}"), 1).await;
     let mut client = client(&deployment, 0);
     // Extra attempts are a part of the attempts so far: a fleet that has only begun has none to spend.
     for round in 0..SETTLE {
-        client.ask(Kind::Gather, &format!("s{round}")).await;
+        client.send(Kind::Gather, &format!("s{round}")).await;
     }
     for leaf in deployment.leafs.iter().step_by(2).filter(|leaf| leaf.entry.service != "letters") {
-        leaf.replica.set(|knobs| knobs.manner = manner);
+        leaf.replica.set(|knobs| knobs.behaviour = manner);
     }
     for round in 0..10 {
-        let end = client.ask(Kind::Gather, &format!("g{round}")).await;
+        let end = client.send(Kind::Gather, &format!("g{round}")).await;
         assert!(served(&end) >= 3, "{end:?}");
     }
 }
@@ -141,13 +141,13 @@
 async fn a_letter_does_not_go_on_a_connection_that_rested() {
     let deployment = started("forgetful", 1).await;
     for leaf in &deployment.leafs {
-        leaf.replica.set(|knobs| knobs.manner = replica::Manner::Forgetful);
+        leaf.replica.set(|knobs| knobs.behaviour = replica::Behaviour::Forgetful);
     }
     let mut client = client(&deployment, 0);
     for round in 0..6 {
         tokio::time::sleep(RESTED).await;
         let name = format!("w{round}");
-        let end = client.ask(Kind::Write, &name).await;
+        let end = client.send(Kind::Write, &name).await;
         assert_eq!(served(&end), 1, "{end:?}");
         assert_eq!(runs(&deployment, &name), 1);
     }
@@ -161,12 +161,12 @@
         leaf.replica.set(|knobs| knobs.work_ms = 60_000);
     }
     let address = deployment.nodes[0].listen;
-    let asking = tokio::spawn(async move { Client::new(address).ask(Kind::Read, "gone").await });
+    let asking = tokio::spawn(async move { Client::new(address).send(Kind::Read, "gone").await });
     while letters(&deployment).all(|leaf| leaf.replica.ledger().runs.is_empty()) {
         tokio::time::sleep(LOOK).await;
     }
     asking.abort();
-    while letters(&deployment).all(|leaf| leaf.replica.ledger().left == 0) {
+    while letters(&deployment).all(|leaf| leaf.replica.ledger().abandoned == 0) {
         tokio::time::sleep(LOOK).await;
     }
 }
@@ -188,7 +188,7 @@
         deployment.leafs.iter().map(|leaf| leaf.replica.ledger().misdirected).sum()
     };
     for round in 0..MOVED_MOST {
-        let end = client.ask(Kind::Gather, &format!("g{round}")).await;
+        let end = client.send(Kind::Gather, &format!("g{round}")).await;
         assert!(served(&end) >= 3, "{end:?}");
         if misdirected(&deployment) > 0 {
             return;
@@ -206,7 +206,7 @@
     deployment.registry.set(registry::Mode::Away);
     let node = deployment.start_node().expect("a node");
     assert!(deployment.wait_ready(node).await);
-    assert_eq!(served(&client(&deployment, node).ask(Kind::Gather, "g").await), 4);
+    assert_eq!(served(&client(&deployment, node).send(Kind::Gather, "g").await), 4);
 }
 
 /// Without a configuration nobody can say that there is no such page: 503, and then 404.
@@ -316,10 +316,10 @@
             let mut client = Client::new(address);
             let mut count = 0;
             loop {
-                let end = client.ask(Kind::Read, &format!("k{caller}-{count}")).await;
+                let end = client.send(Kind::Read, &format!("k{caller}-{count}")).await;
                 match end {
-                    End::Served { .. } => count += 1,
-                    End::NoConnection => return count,
+                    Outcome::Served { .. } => count += 1,
+                    Outcome::NoConnection => return count,
                     other => panic!("{other:?}"),
                 }
             }
@@ -332,14 +332,14 @@
     while let Some(count) = callers.join_next().await {
         assert!(count.expect("no caller was cut off") > 0);
     }
-    assert_eq!(deployment.wait_end(0).await, Some(0));
+    assert_eq!(deployment.wait_exit(0).await, Some(0));
 }
 
 /// A weak host passes a search on to a strong one, which does the work; the answer is the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_weak_host_passes_searches_on() {
     let mut deployment = started("passes-on", 2).await;
-    deployment.extra = "processor: 0.1\n".to_owned();
+    deployment.extra_settings = "processor: 0.1\n".to_owned();
     let weak = deployment.start_node().expect("a node");
     assert!(deployment.wait_ready(weak).await);
     let mut client = client(&deployment, weak);
@@ -347,8 +347,8 @@
     // Until it has heard of the strong ones it does what it can itself.
     loop {
         round += 1;
-        let end = client.ask(Kind::Gather, &format!("g{round}")).await;
-        assert!(!matches!(end, End::Wrong(_)), "{end:?}");
+        let end = client.send(Kind::Gather, &format!("g{round}")).await;
+        assert!(!matches!(end, Outcome::Wrong(_)), "{end:?}");
         let status = client::page(deployment.nodes[weak].admin, "/metrics").await.expect("metrics").1;
         let text = String::from_utf8_lossy(&status).into_owned();
         if served(&end) == 4 && text.contains("shallothub_relayed") && !text.contains("shallothub_relayed 0") {
@@ -356,7 +356,7 @@
         }
     }
     // Letters are not passed on: what may run once keeps the fewest hands.
-    assert_eq!(served(&client.ask(Kind::Write, "w").await), 1);
+    assert_eq!(served(&client.send(Kind::Write, "w").await), 1);
     assert_eq!(runs(&deployment, "w"), 1);
 }
 
@@ -393,7 +393,7 @@
     // Nobody says a word: the file's time of change is looked at.
     let again = line(&deployment, "settings read again", 2).await;
     assert_eq!((&again["cause"], &again["needs_restart"]), (&"the file changed".into(), &false.into()), "{again}");
-    assert_eq!(served(&client(&deployment, 0).ask(Kind::Gather, "g").await), 4);
+    assert_eq!(served(&client(&deployment, 0).send(Kind::Gather, "g").await), 4);
 }
 
 /// Somebody opens many connections and sends nothing. A node that may open few descriptors ends those
@@ -401,7 +401,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_do_not_use_up_the_descriptors() {
     let mut deployment = started("descriptors", 0).await;
-    deployment.extra = "descriptors: 100\n".to_owned();
+    deployment.extra_settings = "descriptors: 100\n".to_owned();
     let node = deployment.start_node().expect("a node");
     assert!(deployment.wait_ready(node).await);
     let address = deployment.nodes[node].listen;
@@ -415,7 +415,7 @@
     while deployment.descriptors(node) > 70 || clients.is_empty() {
         assert!(clients.len() < 200, "{} descriptors", deployment.descriptors(node));
         let mut client = client(&deployment, node);
-        let end = client.ask(Kind::Read, &format!("d{}", clients.len())).await;
+        let end = client.send(Kind::Read, &format!("d{}", clients.len())).await;
         assert_eq!(served(&end), 1, "{end:?}");
         clients.push(client);
         tokio::time::sleep(LOOK * 10).await;
@@ -445,8 +445,8 @@
     let set = |deployment: &Deployment, change: fn(&mut replica::Knobs)| {
         letters(deployment).for_each(|leaf| leaf.replica.set(change));
     };
-    set(&deployment, |knobs| knobs.manner = replica::Manner::Resetting);
-    client.ask(Kind::Write, "lost").await;
+    set(&deployment, |knobs| knobs.behaviour = replica::Behaviour::Resetting);
+    client.send(Kind::Write, "lost").await;
     let lost = lines(&deployment, "lost").await;
     assert_eq!((&lost[0]["message"], &lost[0]["end"]), (&"an attempt failed".into(), &"lost".into()), "{lost:?}");
     assert_eq!(lost[0]["detail"], "the connection broke before the whole answer was here", "{lost:?}");
@@ -454,8 +454,8 @@
     assert_eq!(lost[1]["code"], "attempt_lost", "{lost:?}");
     assert!(lost[1]["stamp"].is_string() && lost[1]["hosts"].is_string(), "{lost:?}");
 
-    set(&deployment, |knobs| knobs.manner = replica::Manner::Mute);
-    client.ask(Kind::Write, "late").await;
+    set(&deployment, |knobs| knobs.behaviour = replica::Behaviour::Mute);
+    client.send(Kind::Write, "late").await;
     let late = lines(&deployment, "late").await;
     let why = late.last().and_then(|line| line["why"].as_str()).unwrap_or_default().to_owned();
     assert!(why.starts_with("letters waits for i-"), "{late:?}");
@@ -470,7 +470,7 @@
     let mut refused = Vec::new();
     for round in 0.. {
         let name = format!("refused-{round}");
-        client.ask(Kind::Read, &name).await;
+        client.send(Kind::Read, &name).await;
         refused = lines(&deployment, &name).await;
         if refused[refused.len() - 1]["code"] == "no_replica" {
             break;
--- a/tests/platform/operators.rs
+++ b/tests/platform/operators.rs
@@ -4,7 +4,7 @@
 
 use shallothub_core::{clock, plan};
 use shallothub_soak::{
-    client::{Client, End, Kind},
+    client::{Client, Kind, Outcome},
     deployment::{self, Deployment, Size},
 };
 
@@ -23,7 +23,7 @@
     for round in 0..MOVED_MOST {
         let before = runs_in(deployment, data_centre);
         let name = format!("e{node}-{is_used}-{before}-{round}");
-        let end = client.ask(Kind::Gather, &name).await;
+        let end = client.send(Kind::Gather, &name).await;
         assert_eq!(served(&end), 4, "{name}: {end:?}");
         if runs_in(deployment, data_centre) > before {
             if is_used {
@@ -92,7 +92,7 @@
         let mut client = client(&deployment, node);
         let mut refused = 0;
         for round in 0..MOVED_MOST {
-            refused += u32::from(served(&client.ask(Kind::Gather, &format!("n{node}-{round}")).await) == 0);
+            refused += u32::from(served(&client.send(Kind::Gather, &format!("n{node}-{round}")).await) == 0);
             if refused >= SETTLE {
                 break;
             }
@@ -105,7 +105,7 @@
     let (before, since) = (count(&deployment), std::time::Instant::now());
     let mut clients: Vec<Client> = (0..3).map(|node| client(&deployment, node)).collect();
     for round in 0..300 {
-        clients[round % 3].ask(Kind::Gather, &format!("c-{round}")).await;
+        clients[round % 3].send(Kind::Gather, &format!("c-{round}")).await;
     }
     let borne = (RATE * (since.elapsed().as_secs_f64() + 1.0)).ceil() as u32;
     for (before, after) in before.iter().zip(count(&deployment)) {
@@ -114,7 +114,7 @@
     set_warming(&mut deployment, false);
     let mut whole = 0;
     for round in 0..MOVED_MOST {
-        if served(&clients[round as usize % 3].ask(Kind::Gather, &format!("w-{round}")).await) < 4 {
+        if served(&clients[round as usize % 3].send(Kind::Gather, &format!("w-{round}")).await) < 4 {
             tokio::time::sleep(LOOK).await;
             continue;
         }
@@ -132,14 +132,14 @@
 async fn searches_with_homes_stay_there() {
     let directory = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("homes");
     let program = path::Path::new(env!("CARGO_BIN_EXE_shallothub"));
-    let size = Size { is_wide: true, ..SIZE };
+    let size = Size { has_two_data_centres: true, ..SIZE };
     let mut deployment = Deployment::start(program, &directory, size).await.expect("stand-ins");
-    deployment.extra = format!("regions: {{here: east, {}: west}}\n", deployment::FAR);
+    deployment.extra_settings = format!("regions: {{here: east, {}: west}}\n", deployment::FAR_DATA_CENTRE);
     for _ in 0..2 {
         let node = deployment.start_node().expect("a node");
         assert!(deployment.wait_ready(node).await);
     }
-    for (home, elsewhere) in [("east", deployment::FAR), ("west", "here")] {
+    for (home, elsewhere) in [("east", deployment::FAR_DATA_CENTRE), ("west", "here")] {
         for route in &mut deployment.routing.routes {
             route.homes = vec![home.into()];
         }
@@ -156,15 +156,15 @@
     deployment.registry.configure(&deployment.routing);
     for node in 0..2 {
         let mut client = client(&deployment, node);
-        let mut told = End::Silence;
+        let mut told = Outcome::Silence;
         for round in 0..MOVED_MOST {
-            told = client.ask(Kind::Gather, &format!("n{node}-{round}")).await;
-            if told == End::Told(503) {
+            told = client.send(Kind::Gather, &format!("n{node}-{round}")).await;
+            if told == Outcome::Status(503) {
                 break;
             }
             tokio::time::sleep(LOOK).await;
         }
-        assert_eq!(told, End::Told(503), "node {node} serves a search that is at home nowhere");
+        assert_eq!(told, Outcome::Status(503), "node {node} serves a search that is at home nowhere");
     }
 }
 
@@ -179,7 +179,7 @@
     const STABILITY_WINDOW: time::Duration = time::Duration::from_secs(4);
     const RETRIES_MOST: usize = 3;
     let mut deployment = started("killer", 6).await;
-    let set = |leaf: &deployment::Leaf| leaf.replica.set(|knobs| knobs.dies_of = Some(KILLER));
+    let set = |leaf: &deployment::Leaf| leaf.replica.set(|knobs| knobs.crashes_on = Some(KILLER));
     let without_proxy = |deployment: &mut Deployment| {
         for leaf in &mut deployment.leafs {
             leaf.entry.address = compact_str::format_compact!("{}", leaf.address);
@@ -195,13 +195,13 @@
     let mut refused = 0;
     for attempt in 0..ATTEMPTS {
         let node = attempt as usize % 6;
-        let other = client(&deployment, node).ask(Kind::Read, &format!("other-{attempt}")).await;
-        assert!(matches!(other, End::Served { .. } | End::Told(502..=504)), "{other:?}");
+        let other = client(&deployment, node).send(Kind::Read, &format!("other-{attempt}")).await;
+        assert!(matches!(other, Outcome::Served { .. } | Outcome::Status(502..=504)), "{other:?}");
         let target = format!("GET /read/{KILLER}");
         let text = head(&target, &format!("{KILLER}-{attempt}")) + "\r\n";
         refused += u32::from(raw(deployment.nodes[node].listen, &text).await == 503);
         let gone: Vec<usize> =
-            (0..deployment.leafs.len()).filter(|&leaf| deployment.leafs[leaf].replica.ledger().died).collect();
+            (0..deployment.leafs.len()).filter(|&leaf| deployment.leafs[leaf].replica.ledger().has_crashed).collect();
         for leaf in gone.into_iter().rev() {
             let leaf = deployment.leafs.remove(leaf);
             deployment.registry.unregister(&leaf.entry);
@@ -218,5 +218,5 @@
     assert!(dead <= ATTEMPTS / 2, "{dead} leafs died");
     assert!(late <= RETRIES_MOST, "{late} leafs died later than {STABILITY_WINDOW:?} after the third");
     assert!(refused * 3 >= ATTEMPTS, "{refused} attempts were refused");
-    assert_eq!(served(&client(&deployment, 0).ask(Kind::Gather, "after").await), 4);
+    assert_eq!(served(&client(&deployment, 0).send(Kind::Gather, "after").await), 4);
 }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -25,7 +25,7 @@
     for node in 0..2 {
         let mut client = client(&deployment, node);
         let mut round = 0;
-        while served(&client.ask(Kind::Gather, &format!("g{node}-{round}")).await) != 4 {
+        while served(&client.send(Kind::Gather, &format!("g{node}-{round}")).await) != 4 {
             round += 1;
             assert!(round < MOVED_MOST, "node {node}: results still incomplete after {round} searches");
             tokio::time::sleep(LOOK).await;
@@ -46,7 +46,7 @@
     deployment.configure(2, &deployment::shards(0, 3));
     for (node, client) in clients.iter_mut().enumerate() {
         let mut round = 0;
-        while served(&client.ask(Kind::Gather, &format!("second-{node}-{round}")).await) != 3 {
+        while served(&client.send(Kind::Gather, &format!("second-{node}-{round}")).await) != 3 {
             round += 1;
             assert!(round < MOVED_MOST, "the second configuration is not in force");
             tokio::time::sleep(LOOK).await;
@@ -58,7 +58,7 @@
     deployment.registry.set(registry::Mode::Proper);
     for round in 0..ROUNDS {
         for (node, client) in clients.iter_mut().enumerate() {
-            let end = client.ask(Kind::Gather, &format!("restored-{node}-{round}")).await;
+            let end = client.send(Kind::Gather, &format!("restored-{node}-{round}")).await;
             assert_eq!(served(&end), 3, "node {node}, round {round}: {end:?}");
         }
         tokio::time::sleep(LOOK).await;
@@ -67,7 +67,7 @@
     for (node, client) in clients.iter_mut().enumerate() {
         let mut round = 0;
         loop {
-            let end = client.ask(Kind::Gather, &format!("third-{node}-{round}")).await;
+            let end = client.send(Kind::Gather, &format!("third-{node}-{round}")).await;
             if served(&end) == 2 {
                 break;
             }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -166,16 +166,16 @@
 /// One replica of a shard misbehaves: what it sends is no answer, or half of one, or another's, or
 /// has no end. No such thing may become part of an editor's check, and the other replica is asked.
 #[rstest]
-#[case::garbage(leaf::Manner::Garbage)]
-#[case::half(leaf::Manner::Half)]
-#[case::others(leaf::Manner::Others)]
-#[case::endless(leaf::Manner::Endless)]
-#[case::shed(leaf::Manner::Shed)]
+#[case::garbage(leaf::Behaviour::Garbage)]
+#[case::half(leaf::Behaviour::Half)]
+#[case::others(leaf::Behaviour::Others)]
+#[case::endless(leaf::Behaviour::Endless)]
+#[case::shed(leaf::Behaviour::Shed)]
 #[tokio::test]
-async fn a_bad_reply_is_never_part_of_an_answer(#[case] manner: leaf::Manner) {
+async fn a_bad_reply_is_never_part_of_an_answer(#[case] manner: leaf::Behaviour) {
     let fleet = Fleet::start(&format!("bad-{manner:?}"), 1).await;
     fleet.leaf("guestfront-001-0").set(|knobs| {
-        knobs.manner = manner;
+        knobs.behaviour = manner;
         knobs.version = 9;
     });
     for _ in 0..20 {
@@ -193,7 +193,7 @@
     let fleet = Fleet::start("hang", 1).await;
     for (name, leaf) in &fleet.leaves {
         if name.starts_with("guestfront-002") || name.starts_with("hostdesk") {
-            leaf.set(|knobs| knobs.manner = leaf::Manner::Hang);
+            leaf.set(|knobs| knobs.behaviour = leaf::Behaviour::Hang);
         }
     }
     let (status, answer) = fleet.ask(0, "sweep", None).await.expect("an answer");
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -15,17 +15,17 @@
 // The data centre of every second leaf is evacuated now and then, and leafs warm up.
 #[case::evacuations(30_001, true)]
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_under_faults(#[case] seed: u64, #[case] is_wide: bool) {
+async fn promises_hold_under_faults(#[case] seed: u64, #[case] has_two_data_centres: bool) {
     let plan = run::Plan {
         program: env!("CARGO_BIN_EXE_shallothub").into(),
         directory: path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}")),
         seed,
-        span: Duration::from_secs(5),
-        size: Size { nodes: 3, shards: 6, replicas: 2, is_wide },
+        duration: Duration::from_secs(5),
+        size: Size { nodes: 3, shards: 6, replicas: 2, has_two_data_centres },
         clients: 2,
-        extra: String::new(),
+        extra_settings: String::new(),
     };
     println!("seed {seed}");
     let verdict = run::run(&plan).await.expect("a run");
-    assert_eq!(verdict.breaches, Vec::<String>::new(), "faults {:?}, ends {:?}", verdict.faults, verdict.ends);
+    assert_eq!(verdict.breaches, Vec::<String>::new(), "faults {:?}, ends {:?}", verdict.faults, verdict.outcomes);
 }
