--- a/crates/core/tests/evacuated.rs
+++ b/crates/core/tests/evacuated.rs
@@ -1,4 +1,4 @@
-//! A data centre is evacuated while requests run: nothing goes there any more, on whatever way.
+//! A data centre is evacuated while requests run: no further attempts are sent there.
 
 #[expect(unreachable_pub, reason = "a module of this test alone")]
 mod one_leaf;
@@ -15,8 +15,8 @@
 
 const SHARDS: u32 = 4;
 
-/// Each of [`SHARDS`] shards has one leaf in `east`, the even servers, and one in `west`; each takes `connections`.
-/// The list of this revision says which are evacuated.
+/// A view of [`SHARDS`] shards with one leaf each in the east, the even servers, and one in the west. Each leaf accepts
+/// `connections`; `is_evacuated` selects the evacuated ones at this host list `revision`.
 fn view(revision: u64, connections: u32, is_evacuated: impl Fn(usize) -> bool) -> event::Input {
     let mut view = (*one_leaf::view(connections)).clone();
     let leaf = view.servers[0].clone().expect("the leaf");
@@ -41,7 +41,7 @@
     event::Input::View(Arc::new(view))
 }
 
-fn east(server: usize) -> bool {
+fn is_in_east(server: usize) -> bool {
     server.is_multiple_of(2)
 }
 
@@ -65,27 +65,27 @@
     outputs.iter().filter_map(dispatch).collect()
 }
 
-fn is_east(dispatch: &event::Dispatch) -> bool {
-    east(dispatch.server.index())
+fn goes_east(dispatch: &event::Dispatch) -> bool {
+    is_in_east(dispatch.server.index())
 }
 
-/// Searches run by the view before; whatever becomes of their attempts, and however long they are silent, second
-/// attempts go to the other data centre. Requests that the evacuated one had already may end there.
+/// Guards against second attempts to an evacuated data centre for requests from before the evacuation. Whether an
+/// attempt fails or stays silent, the next goes to the other data centre. Attempts already sent may complete.
 #[rstest]
 #[case::lost(Some(event::Reply::Lost(event::Loss::Broken)))]
 #[case::refused(Some(event::Reply::Refused { retry_after: None }))]
 #[case::not_sent(Some(event::Reply::NotSent))]
 #[case::silent(None)]
-fn searches_that_run_send_nothing_there(#[case] reply: Option<event::Reply>) {
+fn running_requests_send_no_further_attempts_there(#[case] reply: Option<event::Reply>) {
     let mut core = core(8);
     let mut sent = Vec::new();
-    // A leaf without evidence takes one attempt at a time, and a hedge needs room.
+    // A leaf without measurements gets one attempt at a time, and a hedge needs a free connection.
     let callers = if reply.is_some() { 6 } else { 1 };
     for caller in 0..callers {
         sent.extend(dispatched(&core.step(clock::Millis(10 + caller), [request(caller)])));
     }
-    assert!(sent.iter().any(is_east));
-    let mut outputs = core.step(clock::Millis(20), [view(2, 8, east)]);
+    assert!(sent.iter().any(goes_east));
+    let mut outputs = core.step(clock::Millis(20), [view(2, 8, is_in_east)]);
     for dispatch in sent {
         let Some(reply) = reply.clone() else { continue };
         outputs.extend(core.step(clock::Millis(21), [event::Input::Reply { attempt: dispatch.attempt, reply }]));
@@ -93,22 +93,22 @@
     for step in 0..40 {
         outputs.extend(core.step(clock::Millis(22 + step * 5), [event::Input::Tick]));
     }
-    let again = dispatched(&outputs);
-    assert!(!again.is_empty());
-    assert!(!again.iter().any(is_east), "{again:?}");
+    let second_attempts = dispatched(&outputs);
+    assert!(!second_attempts.is_empty());
+    assert!(!second_attempts.iter().any(goes_east), "{second_attempts:?}");
     assert!(!outputs.iter().any(|output| matches!(output, event::Output::Breach(_))));
 }
 
-/// Shards wait for room at leafs with one connection each. Those that wait in the evacuated data centre are asked
-/// in the other one.
+/// Attempts wait for leafs with one connection each. Those that wait for a leaf in the evacuated data centre go to the
+/// other one.
 #[test]
-fn what_waits_for_room_there_goes_elsewhere() {
+fn attempts_that_wait_for_an_evacuated_leaf_go_elsewhere() {
     let mut core = core(1);
     let mut first = Vec::new();
     for caller in 0..4 {
         first.extend(dispatched(&core.step(clock::Millis(10), [request(caller)])));
     }
-    let mut outputs = core.step(clock::Millis(20), [view(2, 1, east)]);
+    let mut outputs = core.step(clock::Millis(20), [view(2, 1, is_in_east)]);
     for round in 0..40 {
         let at = clock::Millis(21 + round);
         for dispatch in std::mem::take(&mut first) {
@@ -119,18 +119,18 @@
         }
         outputs.extend(core.step(at, [event::Input::Tick]));
         let next = dispatched(&outputs);
-        assert!(!next.iter().any(is_east), "{next:?}");
+        assert!(!next.iter().any(goes_east), "{next:?}");
         first = next;
         outputs.clear();
     }
 }
 
-/// All leafs of half of the shards stand in the evacuated data centre: answers lack these shards and say so, and
-/// when too few shards are left, the caller is told at once that nothing was run and when to come back.
+/// Both leafs of some shards are evacuated. Answers list these shards as missing; if too few shards remain, the caller
+/// is refused at once, as not run, with a retry delay.
 #[rstest]
 #[case::half(2, true)]
 #[case::most(3, false)]
-fn coverage_misses_what_is_evacuated(#[case] shards: usize, #[case] is_answered: bool) {
+fn answers_lack_evacuated_shards(#[case] shards: usize, #[case] is_answered: bool) {
     let mut core = core(8);
     core.step(clock::Millis(5), [view(2, 8, |server| server < 2 * shards)]);
     let mut outputs = core.step(clock::Millis(10), [request(1)]);
@@ -145,7 +145,7 @@
         event::Output::Answer(answer) => Some(answer),
         _ => None,
     });
-    let answer = answer.expect("an answer at once");
+    let answer = answer.expect("an immediate answer");
     if is_answered {
         assert_eq!((answer.outcome, answer.contributed.len()), (event::Outcome::Answered, SHARDS as usize - shards));
         return;
--- a/crates/core/tests/one_leaf/mod.rs
+++ b/crates/core/tests/one_leaf/mod.rs
@@ -1,4 +1,4 @@
-//! The smallest view: one leaf, one shard, one selector.
+//! A minimal view with one leaf, one shard and one selector.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 /// Deadline of the selector.
 pub const DEADLINE: clock::Millis = clock::Millis(250);
 
-/// One leaf that accepts `connections`, and the selector `ask` that reaches it.
+/// A view with one leaf that accepts `connections`, and the selector `ask` that routes to it.
 pub fn view(connections: u32) -> Arc<view::View> {
     let mut registry = view::Registry::default();
     let name = CompactString::const_new("leaf");
@@ -63,7 +63,7 @@
     })
 }
 
-/// A request of `caller` for what the selector reaches.
+/// A request of `caller` for the selector.
 pub fn request(caller: u64) -> event::Request {
     event::Request {
         caller: id::Caller(caller),
--- a/crates/core/tests/partial.rs
+++ b/crates/core/tests/partial.rs
@@ -1,4 +1,4 @@
-//! Answers that lack shards: whichever these are, the others are asked and the answer says what is missing.
+//! Partial answers: the available shards are queried, and the answer lists the missing ones.
 
 #[expect(unreachable_pub, reason = "a module of this test alone")]
 mod one_leaf;
@@ -15,8 +15,8 @@
 
 const SHARDS: usize = 6;
 
-/// One leaf for each of [`SHARDS`] shards; those in `closed` are leaving.
-fn view(closed: &[usize], least_coverage: f64) -> Arc<view::View> {
+/// A view with one leaf for each of [`SHARDS`] shards; the leafs of the `leaving_shards` are leaving.
+fn view(leaving_shards: &[usize], least_coverage: f64) -> Arc<view::View> {
     let mut view = (*one_leaf::view(4)).clone();
     let leaf = view.servers[0].clone().expect("the leaf");
     let class = &mut view.classes[0];
@@ -25,7 +25,7 @@
     view.servers.clear();
     for shard in 0..SHARDS {
         let name = format_compact!("leaf-{shard}");
-        let leaving = closed.contains(&shard);
+        let leaving = leaving_shards.contains(&shard);
         view.servers.push(Some(view::Server { address: name.clone(), name, leaving, ..leaf.clone() }));
         class.branches[0].targets.push(view::Target {
             shard: format_compact!("shard-{shard}"),
@@ -36,7 +36,7 @@
     Arc::new(view)
 }
 
-fn ask(core: &mut traffic::Core, now: clock::Millis) -> Vec<event::Output> {
+fn send_request(core: &mut traffic::Core, now: clock::Millis) -> Vec<event::Output> {
     let request = one_leaf::request(1);
     core.step(now, [event::Input::Request(request)])
 }
@@ -48,15 +48,14 @@
     })
 }
 
-/// All leafs of some shards are gone, few enough for the least coverage. Guests got no answer at all for as
-/// long as the first shard in the list was among them: it was given up before any other had been asked, and
-/// a query of which nothing is on its way ends.
+/// Guards against a query without an answer when the first listed shard has no leaf left, although the others reach
+/// the least coverage: that shard failed before any other was dispatched, and a query with nothing in flight ends.
 #[rstest]
-fn the_other_shards_are_asked(#[values(&[0], &[0, 1], &[2], &[5], &[0, 5], &[4, 5])] closed: &[usize]) {
+fn the_available_shards_are_queried(#[values(&[0], &[0, 1], &[2], &[5], &[0, 5], &[4, 5])] leaving_shards: &[usize]) {
     let mut core =
         traffic::Core::new(policy::Policy::default(), traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1000));
-    core.step(clock::Millis(1000), [event::Input::View(view(closed, 0.6))]);
-    let outputs = ask(&mut core, clock::Millis(1001));
+    core.step(clock::Millis(1000), [event::Input::View(view(leaving_shards, 0.6))]);
+    let outputs = send_request(&mut core, clock::Millis(1001));
     assert!(answer(&outputs).is_none(), "{:?}", answer(&outputs));
     let snapshot = view::Snapshot { epoch: 1, version: 1 };
     let part = event::Part { snapshot, held: None, hits: 1, load: None, queue: None };
@@ -67,21 +66,21 @@
                 .push(event::Input::Reply { attempt: dispatch.attempt, reply: event::Reply::Answered(part.clone()) });
         }
     }
-    assert_eq!(replies.len(), SHARDS - closed.len());
+    assert_eq!(replies.len(), SHARDS - leaving_shards.len());
     let outputs = core.step(clock::Millis(1004), replies);
     let answer = answer(&outputs).expect("an answer");
     assert_eq!(answer.outcome, event::Outcome::Answered);
-    assert_eq!(answer.contributed.len(), SHARDS - closed.len());
-    assert_eq!(answer.missing.len(), closed.len());
+    assert_eq!(answer.contributed.len(), SHARDS - leaving_shards.len());
+    assert_eq!(answer.missing.len(), leaving_shards.len());
 }
 
-/// One more is gone than the least coverage allows: callers are told at once, and nothing is sent.
+/// If fewer shards are available than the least coverage needs, callers are refused at once and nothing is sent.
 #[test]
-fn too_few_shards_are_refused_at_once() {
+fn requests_with_too_few_shards_are_refused_at_once() {
     let mut core =
         traffic::Core::new(policy::Policy::default(), traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1000));
     core.step(clock::Millis(1000), [event::Input::View(view(&[0, 2, 4], 0.6))]);
-    let outputs = ask(&mut core, clock::Millis(1001));
+    let outputs = send_request(&mut core, clock::Millis(1001));
     let answer = answer(&outputs).expect("an answer");
     assert_eq!((answer.outcome, answer.code), (event::Outcome::NotRun, event::Code::NoReplica));
     assert!(answer.retry_after.is_some());
--- a/crates/core/tests/recover.rs
+++ b/crates/core/tests/recover.rs
@@ -1,5 +1,4 @@
-//! Coming back after trouble: whatever a core learned in bad times must not keep it from serving in
-//! good ones.
+//! Recovery after faults: measurements taken during a fault must not keep a core from serving afterwards.
 
 #[expect(unreachable_pub, reason = "a module of this test alone")]
 mod one_leaf;
@@ -13,11 +12,11 @@
     view,
 };
 
-/// One request at `now`; leafs answer at once, or never. The outcomes of whatever ended.
-fn ask(core: &mut traffic::Core, now: clock::Millis, caller: u64, is_up: bool) -> Vec<event::Outcome> {
+/// Sends a request at `now`; leafs answer at once if `is_up`, else never. Returns the outcomes of completed requests.
+fn send_request(core: &mut traffic::Core, now: clock::Millis, caller: u64, is_up: bool) -> Vec<event::Outcome> {
     let request = one_leaf::request(caller);
     let mut outputs = core.step(now, [event::Input::Request(request)]);
-    let mut ended = Vec::new();
+    let mut outcomes = Vec::new();
     while let Some(output) = outputs.pop() {
         match output {
             event::Output::Dispatch(dispatch) if is_up => {
@@ -26,16 +25,15 @@
                 let reply = event::Reply::Answered(part);
                 outputs.extend(core.step(now, [event::Input::Reply { attempt: dispatch.attempt, reply }]));
             }
-            event::Output::Answer(answer) => ended.push(answer.outcome),
+            event::Output::Answer(answer) => outcomes.push(answer.outcome),
             _ => {}
         }
     }
-    ended
+    outcomes
 }
 
-/// All leafs of a service hang for a minute, and every sweep runs into its deadline. Then they are
-/// well again, but the host goes on refusing each request at once: it expects a run to take as long
-/// as the deadline, and as it lets nothing run, it never learns better.
+/// Guards against a host that refuses all requests after its leafs hung for a minute and recovered. From the missed
+/// deadlines it expected each request to take that long, and as it admitted none, it never measured again.
 #[test]
 fn a_class_serves_again_after_all_its_leafs_hung() {
     let lane = traffic::Lane { index: 0, count: 1 };
@@ -46,7 +44,7 @@
     while now < clock::Millis(60_000) {
         caller += 1;
         now = now + clock::Millis(5);
-        ask(&mut core, now, caller, false);
+        send_request(&mut core, now, caller, false);
     }
     now = now + one_leaf::DEADLINE;
     core.step(now, [event::Input::Tick]);
@@ -54,18 +52,18 @@
     for _ in 0..400 {
         caller += 1;
         now = now + clock::Millis(25);
-        let ended = ask(&mut core, now, caller, true);
-        answered += usize::from(ended.contains(&event::Outcome::Answered));
+        let outcomes = send_request(&mut core, now, caller, true);
+        answered += usize::from(outcomes.contains(&event::Outcome::Answered));
     }
-    // The leaf was left out for up to 32 s after its failures, but with no other to ask it is asked.
+    // The leaf is ejected for up to 32 s after its failures, but is used if there is no other.
     assert!(answered > 350, "{answered} of 400 were answered");
 }
 
-/// An editor's check waits for a backoff after its leaf refused it, and just then the host is stopped
-/// for five seconds. On waking, the backoff is over before the deadline is looked at, so the check,
-/// which nobody waits for any more, was sent, on a view in which its leaf may long have left.
+/// Guards against sending an expired request. It waits for a backoff after a refusal when the host is stopped for five
+/// seconds; on resuming, the end of the backoff was handled before the deadline, and the request was sent on an
+/// outdated view, in which its leaf may have left.
 #[test]
-fn a_host_that_wakes_sends_nothing_that_expired() {
+fn a_resumed_host_sends_no_expired_requests() {
     let lane = traffic::Lane { index: 0, count: 1 };
     let mut core = traffic::Core::new(policy::Policy::default(), lane, 1, clock::Millis(1));
     core.step(clock::Millis(1), [event::Input::View(one_leaf::view(8))]);
@@ -79,22 +77,22 @@
     core.step(clock::Millis(4), [event::Input::Reply { attempt: attempt.expect("sent"), reply }]);
     let outputs = core.step(clock::Millis(5000), [event::Input::Tick]);
     let sent = outputs.iter().filter(|output| matches!(output, event::Output::Dispatch(_))).count();
-    let told = outputs
+    let is_refused = outputs
         .iter()
         .any(|output| matches!(output, event::Output::Answer(answer) if answer.outcome == event::Outcome::NotRun));
     assert!(outputs.iter().any(|output| matches!(output, event::Output::Revalidate)));
-    assert_eq!((sent, told), (0, true), "{outputs:?}");
+    assert_eq!((sent, is_refused), (0, true), "{outputs:?}");
 }
 
-/// Many letters come within a minute, more than a host can remember the keys of. The next one is told
-/// that it was not run and when to come back; it must not be told that its key ran.
+/// More requests with idempotency keys arrive than the key table holds. The next one is refused as not run, with a
+/// retry delay; it must not be reported as a duplicate.
 #[test]
-fn a_full_memory_of_keys_refuses_and_says_so() {
+fn a_full_key_table_refuses_new_keys() {
     let policy = policy::Policy { key_ceiling: 2, ..policy::Policy::default() };
     let mut core = traffic::Core::new(policy, traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1));
-    let mut letters = view::View::clone(&one_leaf::view(8));
-    letters.classes[0].idempotent = false;
-    core.step(clock::Millis(1), [event::Input::View(Arc::new(letters))]);
+    let mut view = view::View::clone(&one_leaf::view(8));
+    view.classes[0].idempotent = false;
+    core.step(clock::Millis(1), [event::Input::View(Arc::new(view))]);
     let mut codes = Vec::new();
     for caller in 1..=3 {
         let key = Some(compact_str::format_compact!("letter-{caller}"));
@@ -108,31 +106,31 @@
     assert_eq!(codes, [(3, event::Outcome::NotRun, event::Code::Overloaded, true)]);
 }
 
-/// A host is stopped for five seconds, as virtual machines are. Its view may be old: the leaf may have
-/// left. A letter, which may run once only, waits for the view to be found fresh; its sender is told to
-/// come back. Lookups do not.
+/// A host is stopped for five seconds, as happens to virtual machines, and its view may be outdated: the leaf may have
+/// left. Until the view is confirmed, requests that are not idempotent are refused with a retry delay; others
+/// are not.
 #[test]
-fn a_host_that_wakes_takes_no_letters_before_its_view_is_confirmed() {
+fn a_resumed_host_refuses_non_idempotent_requests_before_its_view_is_confirmed() {
     let mut core =
         traffic::Core::new(policy::Policy::default(), traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1));
-    let mut letters = view::View::clone(&one_leaf::view(8));
-    letters.classes[0].idempotent = false;
-    core.step(clock::Millis(1), [event::Input::View(Arc::new(letters))]);
+    let mut view = view::View::clone(&one_leaf::view(8));
+    view.classes[0].idempotent = false;
+    core.step(clock::Millis(1), [event::Input::View(Arc::new(view))]);
     core.step(clock::Millis(2), [event::Input::Tick]);
-    let mut send = |now: u64, caller: u64, confirmed: bool| {
+    let mut send = |now: u64, caller: u64, is_confirmed: bool| {
         let key = Some(compact_str::format_compact!("letter-{caller}"));
         let request = event::Request { key, ..one_leaf::request(caller) };
         let mut inputs = vec![event::Input::Request(request)];
-        if confirmed {
+        if is_confirmed {
             inputs.insert(0, event::Input::Revalidated);
         }
         let outputs = core.step(clock::Millis(now), inputs);
         let sent = outputs.iter().any(|output| matches!(output, event::Output::Dispatch(_)));
-        let told = outputs.iter().find_map(|output| match output {
+        let answer = outputs.iter().find_map(|output| match output {
             event::Output::Answer(answer) => Some((answer.outcome, answer.code, answer.retry_after.is_some())),
             _ => None,
         });
-        (sent, told)
+        (sent, answer)
     };
     let refused = Some((event::Outcome::NotRun, event::Code::Revalidating, true));
     assert_eq!(send(5000, 1, false), (false, refused));
@@ -140,10 +138,10 @@
     assert_eq!(send(5002, 3, true), (true, None));
 }
 
-/// All four leafs of a service fail for a while. If all were left out, the first to come back would get
-/// everything; so no more than half of them are out at once.
+/// All four leafs of a service fail for a while. At most half of them are ejected at once; if all were, the first to
+/// be restored would receive all requests.
 #[test]
-fn no_more_than_half_of_the_leafs_are_left_out() {
+fn at_most_half_of_the_leafs_are_ejected() {
     let mut core =
         traffic::Core::new(policy::Policy::default(), traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1));
     let mut view = view::View::clone(&one_leaf::view(8));
@@ -158,8 +156,8 @@
     view.servers = servers;
     view.classes[0].branches[0].targets[0].replicas = replicas;
     core.step(clock::Millis(1), [event::Input::View(Arc::new(view))]);
-    let mut out_until = indexmap::IndexMap::<CompactString, clock::Millis>::new();
-    let mut most = 0;
+    let mut ejected_until = indexmap::IndexMap::<CompactString, clock::Millis>::new();
+    let mut peak = 0;
     let mut now = clock::Millis(2);
     for caller in 1..2000 {
         now = now + clock::Millis(10);
@@ -172,19 +170,19 @@
                     outputs.extend(core.step(now, [event::Input::Reply { attempt: dispatch.attempt, reply }]));
                 }
                 event::Output::Note(note::Note::Ejected { server, pause }) => {
-                    out_until.insert(server, now + pause);
-                    most = most.max(out_until.values().filter(|until| **until > now).count());
+                    ejected_until.insert(server, now + pause);
+                    peak = peak.max(ejected_until.values().filter(|until| **until > now).count());
                 }
                 _ => {}
             }
         }
     }
-    assert_eq!(most, 2);
+    assert_eq!(peak, 2);
 }
 
-/// A leaf fails until it is left out, and is well again later. Whoever reads the log finds both.
+/// A leaf fails until it is ejected and recovers later. Both changes are reported for the log.
 #[test]
-fn a_server_left_out_and_its_return_are_told() {
+fn the_ejection_and_the_return_of_a_server_are_reported() {
     let lane = traffic::Lane { index: 0, count: 1 };
     let policy = policy::Policy { ejection_ceiling: ratio::Ratio::ONE, ..policy::Policy::default() };
     let mut core = traffic::Core::new(policy, lane, 1, clock::Millis(1));
@@ -207,9 +205,9 @@
             }
         }
     }
-    let first = |wanted: fn(&note::Note) -> bool| notes.iter().position(wanted);
-    let out = first(|note| matches!(note, note::Note::Ejected { .. })).expect("it was left out");
-    let back = first(|note| matches!(note, note::Note::Restored { .. })).expect("it is back");
-    assert!(out < back);
+    let first = |predicate: fn(&note::Note) -> bool| notes.iter().position(predicate);
+    let ejected = first(|note| matches!(note, note::Note::Ejected { .. })).expect("an ejection");
+    let restored = first(|note| matches!(note, note::Note::Restored { .. })).expect("a return");
+    assert!(ejected < restored);
     assert_eq!(notes.iter().filter(|note| matches!(note, note::Note::Restored { .. })).count(), 1);
 }
--- a/crates/core/tests/reborn.rs
+++ b/crates/core/tests/restarted.rs
@@ -1,4 +1,4 @@
-//! A server starts again under the name that it had, and knows nothing of before.
+//! A server restarts under the same name and without its previous state.
 
 #[expect(unreachable_pub, reason = "a module of this test alone")]
 mod one_leaf;
@@ -12,7 +12,7 @@
     view,
 };
 
-/// The view of one leaf in this life, with a sister if there are two, as the list of this revision says.
+/// A view of a leaf with this incarnation, and of a second replica if `leafs` is 2, at this host list `revision`.
 fn view(incarnation: u64, revision: u64, is_idempotent: bool, leafs: usize) -> event::Input {
     let mut view = view::View::clone(&one_leaf::view(8));
     let mut registry = view::Registry::default();
@@ -58,9 +58,9 @@
     outputs.iter().filter_map(answer).collect()
 }
 
-/// A request at `now`; its attempts are answered after 5 ms, or lost if they go to the first leaf while it `hangs`.
-/// How many go there.
-fn serve(core: &mut traffic::Core, now: u64, caller: u64, hangs: bool) -> usize {
+/// Sends a request at `now`. Attempts are answered after 5 ms, or lost at the first leaf if `is_hung`. Returns the
+/// number of attempts to the first leaf.
+fn serve(core: &mut traffic::Core, now: u64, caller: u64, is_hung: bool) -> usize {
     let now = clock::Millis(now);
     let mut outputs = core.step(now, [request(caller)]);
     let mut to_first = 0;
@@ -73,53 +73,53 @@
         let snapshot = view::Snapshot { epoch: 1, version: 1 };
         let part = event::Part { snapshot, held: None, hits: 1, load: None, queue: None };
         let reply =
-            if is_first && hangs { event::Reply::Lost(event::Loss::Broken) } else { event::Reply::Answered(part) };
-        let then = now + clock::Millis(5);
-        outputs.extend(core.step(then, [event::Input::Reply { attempt: dispatch.attempt, reply }]));
+            if is_first && is_hung { event::Reply::Lost(event::Loss::Broken) } else { event::Reply::Answered(part) };
+        let replied_at = now + clock::Millis(5);
+        outputs.extend(core.step(replied_at, [event::Input::Reply { attempt: dispatch.attempt, reply }]));
     }
     to_first
 }
 
-/// A leaf hung, and was passed over and left out for it. It is started again, well, and gets work at once: what
-/// was learned of its life before says nothing of this one.
+/// A leaf hung and was avoided and ejected. After a restart it gets requests at once: measurements of the previous
+/// incarnation do not apply to the new one.
 #[test]
-fn a_leaf_that_starts_again_is_not_judged_by_its_life_before() {
+fn a_restarted_leaf_is_not_rated_by_its_previous_incarnation() {
     let mut core = core();
     core.step(clock::Millis(1), [view(1, 1, true, 2)]);
     let to_first: Vec<usize> = (1..80).map(|caller| serve(&mut core, caller * 10, caller, true)).collect();
-    assert_eq!(to_first[60..].iter().sum::<usize>(), 0, "a leaf that hangs is not passed over");
+    assert_eq!(to_first[60..].iter().sum::<usize>(), 0, "a hung leaf still gets requests");
     core.step(clock::Millis(800), [view(2, 2, true, 2)]);
     let to_first: usize = (100..110).map(|caller| serve(&mut core, caller * 10, caller, false)).sum();
-    assert!(to_first > 2, "the new life gets nothing");
+    assert!(to_first > 2, "the new incarnation gets too few requests");
 }
 
-/// A caller's search is at a leaf that loses power and starts again. Nobody will answer it; the other replica is
-/// asked as soon as the new life is known, not when the search has been silent for long.
+/// An attempt is in flight at a leaf that loses power and restarts, so no reply will come. It is retried at the other
+/// replica as soon as the new incarnation is known, not after the silence timeout.
 #[test]
-fn what_was_in_flight_goes_to_another_replica_at_once() {
+fn attempts_in_flight_are_retried_at_another_replica_at_once() {
     let mut core = core();
     core.step(clock::Millis(1), [view(1, 1, true, 2)]);
     let outputs = core.step(clock::Millis(10), [request(1)]);
     let first = dispatched(&outputs)[0].server;
-    let (of_first, of_second) = if first.0 == 0 { (2, 1) } else { (1, 2) };
-    let mut view = view(of_first, 2, true, 2);
+    let (first_incarnation, second_incarnation) = if first.0 == 0 { (2, 1) } else { (1, 2) };
+    let mut view = view(first_incarnation, 2, true, 2);
     if let event::Input::View(view) = &mut view
         && let Some(server) = &mut Arc::get_mut(view).expect("one owner").servers[1]
     {
-        server.incarnation = of_second;
+        server.incarnation = second_incarnation;
     }
     let outputs = core.step(clock::Millis(20), [view]);
     assert!(outputs.iter().any(|output| matches!(output, event::Output::Cancel { .. })));
-    let again = dispatched(&outputs);
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].server, first);
+    let retries = dispatched(&outputs);
+    assert_eq!(retries.len(), 1);
+    assert_ne!(retries[0].server, first);
     assert!(answers(&outputs).is_empty());
 }
 
-/// The same with a letter, which may be sent once only. Its sender would have waited for the whole deadline;
-/// it is told at once that nobody knows, and the letter does not go to the new life.
+/// The same with a request that is not idempotent: the caller gets an unknown outcome at once instead of waiting for
+/// the whole deadline, and the request is not sent to the new incarnation.
 #[test]
-fn a_letter_in_flight_is_not_sent_again() {
+fn a_non_idempotent_request_in_flight_is_not_sent_again() {
     let mut core = core();
     core.step(clock::Millis(1), [view(1, 1, false, 1)]);
     assert_eq!(dispatched(&core.step(clock::Millis(10), [request(1)])).len(), 1);
@@ -128,28 +128,28 @@
     assert_eq!(answers(&outputs), [(event::Outcome::Unknown, event::Code::AttemptLost)]);
 }
 
-/// Connections that were kept to the life before lead nowhere, or to a process that resets them: a letter that
-/// is sent on one comes to an unknown end.
+/// Pooled connections to the previous incarnation get no reply or a reset, and a request that is not idempotent would
+/// end with an unknown outcome on them.
 #[test]
-fn connections_to_the_life_before_are_closed() {
+fn connections_to_the_previous_incarnation_are_closed() {
     let mut core = core();
     core.step(clock::Millis(1), [view(1, 1, true, 1)]);
     let outputs = core.step(clock::Millis(20), [view(2, 2, true, 1)]);
-    let trims: Vec<u32> = outputs
+    let kept: Vec<u32> = outputs
         .iter()
         .filter_map(|output| match output {
             event::Output::Trim { keep, .. } => Some(*keep),
             _ => None,
         })
         .collect();
-    assert_eq!(trims, [0, 8]);
+    assert_eq!(kept, [0, 8]);
 }
 
-/// The same life in a newer list changes nothing.
+/// A newer list with the same incarnation closes no connections and cancels no attempts.
 #[rstest]
-#[case::without_a_birth(0)]
-#[case::with_one(1)]
-fn a_newer_list_of_the_same_life_ends_nothing(#[case] incarnation: u64) {
+#[case::without_incarnation(0)]
+#[case::with_incarnation(1)]
+fn a_newer_list_with_the_same_incarnation_cancels_nothing(#[case] incarnation: u64) {
     let mut core = core();
     core.step(clock::Millis(1), [view(incarnation, 1, true, 1)]);
     core.step(clock::Millis(10), [request(1)]);
--- /dev/null
+++ b/crates/core/tests/simulation/mod.rs
@@ -0,0 +1,768 @@
+//! Discrete-event simulation of hosts, leafs and callers, for tests of decisions under load.
+//!
+//! Each host runs its own traffic core; hosts share no state and interact only through the leafs and relayed
+//! requests. A leaf has slots and a queue, pauses periodically, and can be slow, unresponsive, refusing or
+//! failing for a time. A canceled attempt is dropped with its connection, and opening a connection occupies a
+//! slot. Runs are deterministic for a given seed.
+
+mod leaf;
+
+use std::{cmp, collections::BinaryHeap, sync::Arc};
+
+use compact_str::{CompactString, format_compact};
+use indexmap::IndexMap;
+use rand::{Rng, SeedableRng, rngs};
+use shallothub_core::{
+    clock, id, ratio,
+    traffic::{self, event, policy},
+    view,
+};
+
+/// One-way network latency between any two nodes, in ms.
+const HOP: u64 = 1;
+/// Work of a light request, relative to a heavy one.
+const LIGHT_WORK: f64 = 0.35;
+/// Maximum time between two steps of a host, in ms.
+const TICK_INTERVAL: u64 = 300;
+
+/// A fault of a leaf.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LeafFault {
+    /// Work takes longer by this factor.
+    Slow(f64),
+    /// Requests get no reply.
+    Unresponsive,
+    /// This fraction of the requests is refused before it runs.
+    Refusing(f64),
+    /// This fraction of the requests runs and fails.
+    Failing(f64),
+}
+
+/// A fault of a host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum HostFault {
+    /// It neither receives nor sends anything.
+    Silent,
+    /// Its process is killed, which closes its connections.
+    Killed,
+}
+
+/// A fault injected at one leaf, with its times in ms.
+#[derive(Clone, Copy, Debug)]
+pub struct Injection {
+    pub leaf: usize,
+    pub from: u64,
+    pub until: u64,
+    pub fault: LeafFault,
+}
+
+/// The deployment that is simulated, its load and its faults.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    pub hosts: usize,
+    pub shards: usize,
+    pub replicas: usize,
+    pub slots: usize,
+    pub queue: usize,
+    pub connections: u32,
+    /// Slot time that opening a connection takes, in ms.
+    pub handshake: u64,
+    /// Mean work of a request at a leaf, in ms.
+    pub work: f64,
+    pub target_latency: u64,
+    pub deadline: u64,
+    pub least_coverage: f64,
+    /// Requests per second over all hosts.
+    pub rate: f64,
+    /// Fraction of the requests that are light: a third of the work, half of the time limits, less urgent.
+    pub light_fraction: f64,
+    /// Maximum number of retries by a caller after refusals, each after the returned delay and at a random host.
+    pub retries: u32,
+    pub seconds: u64,
+    /// Each leaf pauses for `pause` ms once in every `pause_interval` ms.
+    pub pause: u64,
+    pub pause_interval: u64,
+    /// Data centres, to which hosts and the replicas of each shard are assigned in turn.
+    pub data_centres: usize,
+    /// Number of hosts that gather, counted from host 0; the others relay requests to them.
+    pub owners: usize,
+    /// Fault of host 0 and its start, in ms.
+    pub host_fault: Option<(u64, HostFault)>,
+    pub injections: Vec<Injection>,
+}
+
+impl Default for Plan {
+    /// A deployment of the present size: 8 hosts over 20 shards of 2 leafs.
+    fn default() -> Self {
+        Self {
+            hosts: 8,
+            shards: 20,
+            replicas: 2,
+            slots: 2,
+            queue: 12,
+            connections: 26,
+            handshake: 6,
+            work: 11.0,
+            target_latency: 100,
+            deadline: 600,
+            least_coverage: 0.89,
+            rate: 90.0,
+            light_fraction: 0.0,
+            retries: 1,
+            seconds: 20,
+            pause: 0,
+            pause_interval: 3000,
+            data_centres: 1,
+            owners: usize::MAX,
+            host_fault: None,
+            injections: Vec::new(),
+        }
+    }
+}
+
+impl Plan {
+    /// Injects `fault` at one replica of each of the first `shards` shards from 5 s on.
+    pub fn with_faulty_replicas(mut self, shards: usize, fault: LeafFault) -> Self {
+        for shard in 0..shards {
+            self.injections.push(Injection { leaf: shard * self.replicas, from: 5000, until: u64::MAX, fault });
+        }
+        self
+    }
+}
+
+/// Results of a run from 5 s on, when the cores have their first measurements and faults begin.
+#[derive(Clone, Debug, Default)]
+pub struct Outcome {
+    pub requests: u64,
+    pub answered: u64,
+    pub in_time: u64,
+    /// Answers with all shards, late ones included.
+    pub complete: u64,
+    pub refused: u64,
+    /// Mean of the squared shard coverage: a tenth of it if late, 0 without an answer.
+    pub utility: f64,
+    /// Utility of the light requests alone.
+    pub light_utility: f64,
+    /// Utility of the heavy requests alone.
+    pub heavy_utility: f64,
+    /// Arrivals at leafs beyond the first for each request and shard, relative to the first ones.
+    pub extra_ratio: f64,
+    /// Fraction of the arrivals that came from another data centre.
+    pub far_ratio: f64,
+    pub latencies: Vec<u64>,
+    /// Maximum time to a refusal or failure, in ms.
+    pub longest_refusal: u64,
+    pub breaches: Vec<String>,
+}
+
+impl Outcome {
+    /// The `q` quantile of the latency of answers, in ms.
+    pub fn quantile(&self, q: f64) -> u64 {
+        let mut sorted = self.latencies.clone();
+        sorted.sort_unstable();
+        let last = sorted.len().saturating_sub(1);
+        sorted.get((q * last as f64).round() as usize).copied().unwrap_or_default()
+    }
+}
+
+#[derive(Debug)]
+enum Event {
+    Request {
+        host: usize,
+    },
+    /// A caller retries a refused request.
+    Retry {
+        host: usize,
+        query: Query,
+    },
+    Arrive {
+        host: usize,
+        dispatch: Box<event::Dispatch>,
+    },
+    /// A request relayed by `from` reaches `host`.
+    Relay {
+        host: usize,
+        from: usize,
+        dispatch: Box<event::Dispatch>,
+    },
+    /// A host closed the connection of an attempt.
+    Cancel {
+        leaf: usize,
+        sender: leaf::Sender,
+    },
+    /// A leaf completes a request.
+    Complete {
+        leaf: usize,
+        run: leaf::Run,
+    },
+    Reply {
+        host: usize,
+        attempt: id::Attempt,
+        reply: event::Reply,
+    },
+    Kill,
+    /// A host checks its clock, as nodes do when idle.
+    Tick {
+        host: usize,
+    },
+    /// A timer of the host's core may be due.
+    Timer {
+        host: usize,
+    },
+}
+
+/// A caller's request.
+#[derive(Clone, Copy, Debug)]
+struct Query {
+    /// Time of the caller's first try, in ms.
+    first_at: u64,
+    /// Time of the current try, in ms.
+    at: u64,
+    is_light: bool,
+    retries: u32,
+}
+
+impl Plan {
+    /// Target latency and deadline of a request, in ms.
+    fn time_limits(&self, is_light: bool) -> (u64, u64) {
+        if is_light { (self.target_latency / 2, self.deadline / 2) } else { (self.target_latency, self.deadline) }
+    }
+}
+
+pub struct Simulation {
+    plan: Plan,
+    now: u64,
+    random: rngs::SmallRng,
+    hosts: Vec<traffic::Core>,
+    leafs: Vec<leaf::Leaf>,
+    /// The leaf of each unanswered attempt.
+    sent: IndexMap<leaf::Sender, usize>,
+    schedule: BinaryHeap<cmp::Reverse<(u64, u64)>>,
+    events: IndexMap<u64, Event>,
+    sequence: u64,
+    /// Total utility and number of the heavy and of the light requests.
+    utilities: [(f64, u64); 2],
+    /// When the next check of each host's timers is due.
+    timers_due: Vec<u64>,
+    /// Unanswered requests, by host and caller number.
+    queries: IndexMap<(usize, u64), Query>,
+    /// Sending host and attempt of relayed requests, by gathering host and its caller number.
+    relayed: IndexMap<(usize, u64), (usize, id::Attempt)>,
+    /// The relaying host and its caller number, by gathering host and its caller number.
+    origins: IndexMap<(usize, u64), (usize, u64)>,
+    /// Number of shards in the answer to a relayed attempt.
+    relayed_shards: IndexMap<(usize, id::Attempt), usize>,
+    /// Leafs that a caller's request reached, by request and shard.
+    reached: IndexMap<((usize, u64), usize), Vec<usize>>,
+    /// Whether host 0 was killed.
+    is_killed: bool,
+    next_caller: u64,
+    first_attempts: u64,
+    arrivals: u64,
+    far_arrivals: u64,
+    outcome: Outcome,
+}
+
+/// The policy in the settings of the deployments.
+pub fn deployed_policy() -> policy::Policy {
+    policy::Policy {
+        hedge_fraction: 0.2,
+        hedge_quantile: 0.92,
+        hedge_floor: clock::Millis(8),
+        retry_fraction: 0.2,
+        prefer_room: true,
+        adaptive_admission: false,
+        running_ceiling: 96,
+        margin: clock::Millis(8),
+        aim_margin: clock::Millis(16),
+        silence: clock::Millis(150),
+        score_band: 1.5,
+        refuse_by_wait: true,
+        far_cost: 2.0,
+        fleet: Some(policy::Fleet { ratio: 0.2, slack: 56.0, ..policy::Fleet::default() }),
+        ..policy::Policy::default()
+    }
+}
+
+/// Runs a simulation and returns its results.
+pub fn run(plan: Plan, policy: &policy::Policy, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(plan, policy, seed);
+    simulation.run();
+    simulation.outcome
+}
+
+impl Simulation {
+    fn new(plan: Plan, policy: &policy::Policy, seed: u64) -> Self {
+        let mut random = rngs::SmallRng::seed_from_u64(seed);
+        let mut hosts = Vec::new();
+        for host in 0..plan.hosts {
+            let view = Arc::new(view(&plan, host));
+            let lane = traffic::Lane { index: 0, count: 1 };
+            let mut core = traffic::Core::new(policy.clone(), lane, seed ^ (host as u64) << 32, clock::Millis(1));
+            core.step(clock::Millis(1), [event::Input::View(view)]);
+            hosts.push(core);
+        }
+        let mut leafs = Vec::new();
+        for _ in 0..plan.shards * plan.replicas {
+            let pause_phase = random.random_range(0..plan.pause_interval);
+            leafs.push(leaf::Leaf::new(plan.slots, plan.queue, plan.pause, plan.pause_interval, pause_phase));
+        }
+        let mut simulation = Self {
+            now: 1,
+            random,
+            hosts,
+            leafs,
+            sent: IndexMap::new(),
+            schedule: BinaryHeap::new(),
+            events: IndexMap::new(),
+            sequence: 0,
+            utilities: [(0.0, 0); 2],
+            timers_due: vec![u64::MAX; plan.hosts],
+            queries: IndexMap::new(),
+            relayed: IndexMap::new(),
+            origins: IndexMap::new(),
+            relayed_shards: IndexMap::new(),
+            reached: IndexMap::new(),
+            is_killed: false,
+            next_caller: 0,
+            first_attempts: 0,
+            arrivals: 0,
+            far_arrivals: 0,
+            outcome: Outcome::default(),
+            plan,
+        };
+        if let Some((at, HostFault::Killed)) = simulation.plan.host_fault {
+            simulation.schedule(at, Event::Kill);
+        }
+        for host in 0..simulation.plan.hosts {
+            simulation.schedule_request(host);
+            simulation.schedule(TICK_INTERVAL, Event::Tick { host });
+        }
+        simulation
+    }
+
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.sequence += 1;
+        self.events.insert(self.sequence, event);
+        self.schedule.push(cmp::Reverse((at.max(self.now), self.sequence)));
+    }
+
+    fn schedule_request(&mut self, host: usize) {
+        let mean = 1000.0 * self.plan.hosts as f64 / self.plan.rate;
+        let gap = -mean * (1.0 - self.random.random::<f64>()).ln();
+        self.schedule(self.now + gap.round() as u64, Event::Request { host });
+    }
+
+    fn run(&mut self) {
+        let end = self.plan.seconds * 1000;
+        while let Some(cmp::Reverse((at, key))) = self.schedule.pop() {
+            if at > end + self.plan.deadline {
+                break;
+            }
+            self.now = at;
+            let Some(event) = self.events.swap_remove(&key) else {
+                continue;
+            };
+            match event {
+                Event::Request { host } if at <= end => self.request(host),
+                Event::Request { .. } => {}
+                Event::Retry { host, query } => self.send_request(host, Query { at, ..query }),
+                Event::Relay { host, from, dispatch } => self.relay(host, from, &dispatch),
+                Event::Arrive { host, dispatch } => self.on_arrival(host, &dispatch),
+                Event::Cancel { leaf, sender } => {
+                    let started = self.leafs[leaf].cancel(self.now, sender);
+                    self.schedule_completions(leaf, started);
+                }
+                Event::Complete { leaf, run } => self.complete(leaf, run),
+                Event::Reply { host, attempt, reply } => self.step(host, event::Input::Reply { attempt, reply }),
+                Event::Kill => self.kill(),
+                Event::Tick { host } => {
+                    self.step(host, event::Input::Tick);
+                    self.schedule(self.now + TICK_INTERVAL, Event::Tick { host });
+                }
+                Event::Timer { host } => {
+                    if self.timers_due[host] == self.now {
+                        self.timers_due[host] = u64::MAX;
+                        self.step(host, event::Input::Tick);
+                    }
+                }
+            }
+        }
+        let [heavy, light] = self.utilities.map(|(utility, count)| (utility, count.max(1) as f64));
+        self.outcome.heavy_utility = heavy.0 / heavy.1;
+        self.outcome.light_utility = light.0 / light.1;
+        // A heavy request has twice the weight of a light one.
+        let weight = 2.0 * self.utilities[0].1 as f64 + self.utilities[1].1 as f64;
+        self.outcome.utility = (2.0 * heavy.0 + light.0) / weight.max(1.0);
+        self.outcome.far_ratio = self.far_arrivals as f64 / self.arrivals.max(1) as f64;
+        self.outcome.extra_ratio = self.arrivals as f64 / self.first_attempts.max(1) as f64 - 1.0;
+    }
+
+    fn request(&mut self, host: usize) {
+        self.schedule_request(host);
+        let is_light = self.random.random_bool(self.plan.light_fraction);
+        if self.is_measured(self.now) {
+            self.outcome.requests += 1;
+            self.utilities[usize::from(is_light)].1 += 1;
+        }
+        self.send_request(host, Query { first_at: self.now, at: self.now, is_light, retries: 0 });
+    }
+
+    fn send_request(&mut self, host: usize, query: Query) {
+        self.next_caller += 1;
+        let caller = self.next_caller;
+        self.queries.insert((host, caller), query);
+        if self.is_measured(self.now) {
+            self.first_attempts += self.plan.shards as u64;
+        }
+        let (_, deadline) = self.plan.time_limits(query.is_light);
+        let request = event::Request {
+            caller: id::Caller(caller),
+            class: CompactString::const_new(if query.is_light { "strip" } else { "sweep" }),
+            timeout: Some(clock::Millis((query.first_at + deadline).saturating_sub(self.now))),
+            key: None,
+            relayed: None,
+            fingerprint: None,
+        };
+        self.step(host, event::Input::Request(request));
+    }
+
+    /// Schedules a retry at a random host if retries and time are left, after `retry_after` but at most a third of the
+    /// remaining time.
+    fn retry(&mut self, query: Query, retry_after: Option<clock::Millis>) -> bool {
+        let (_, deadline) = self.plan.time_limits(query.is_light);
+        let remaining = (query.first_at + deadline).saturating_sub(self.now);
+        if query.retries >= self.plan.retries || remaining < 10 {
+            return false;
+        }
+        let delay = retry_after.map_or(0, |span| span.0).min(remaining / 3);
+        let host = self.random.random_range(0..self.plan.hosts);
+        self.schedule(self.now + delay, Event::Retry { host, query: Query { retries: query.retries + 1, ..query } });
+        true
+    }
+
+    fn active_host_fault(&self, host: usize) -> Option<HostFault> {
+        let (from, fault) = self.plan.host_fault?;
+        let is_active = if fault == HostFault::Killed { self.is_killed } else { self.now >= from };
+        (host == 0 && is_active).then_some(fault)
+    }
+
+    /// Kills host 0 as soon as another host has relayed a request to it. The relaying hosts see their connections
+    /// end.
+    fn kill(&mut self) {
+        let relayed: Vec<_> =
+            self.relayed.iter().filter(|((host, _), _)| *host == 0).map(|(_, sender)| *sender).collect();
+        if relayed.is_empty() {
+            self.schedule(self.now + 1, Event::Kill);
+            return;
+        }
+        self.is_killed = true;
+        for (from, attempt) in relayed {
+            self.reply(from, attempt, 0, event::Reply::Lost(event::Loss::Broken));
+        }
+    }
+
+    fn relay(&mut self, host: usize, from: usize, dispatch: &event::Dispatch) {
+        match self.active_host_fault(host) {
+            None => {}
+            Some(HostFault::Silent) => return,
+            Some(HostFault::Killed) => {
+                self.reply(from, dispatch.attempt, 0, event::Reply::NotSent);
+                return;
+            }
+        }
+        self.next_caller += 1;
+        let caller = self.next_caller;
+        let is_light = self.is_light(from, dispatch.caller.0);
+        self.relayed.insert((host, caller), (from, dispatch.attempt));
+        self.origins.insert((host, caller), (from, dispatch.caller.0));
+        let request = event::Request {
+            caller: id::Caller(caller),
+            class: CompactString::const_new(if is_light { "strip" } else { "sweep" }),
+            timeout: Some(dispatch.deadline - clock::Millis(self.now)),
+            key: None,
+            relayed: dispatch.relayed,
+            fingerprint: None,
+        };
+        self.step(host, event::Input::Request(request));
+    }
+
+    fn is_measured(&self, at: u64) -> bool {
+        at >= 5000
+    }
+
+    fn step(&mut self, host: usize, input: event::Input) {
+        let now = clock::Millis(self.now);
+        let outputs = self.hosts[host].step(now, [input]);
+        for output in outputs {
+            match output {
+                event::Output::Dispatch(dispatch) if dispatch.relayed.is_some() => {
+                    let peer = dispatch.server.index() - self.leafs.len();
+                    self.schedule(
+                        self.now + HOP,
+                        Event::Relay { host: peer, from: host, dispatch: Box::new(dispatch) },
+                    );
+                }
+                event::Output::Dispatch(dispatch) => {
+                    self.sent.insert((host, dispatch.attempt), dispatch.server.index());
+                    self.schedule(self.now + HOP, Event::Arrive { host, dispatch: Box::new(dispatch) });
+                }
+                event::Output::Cancel { attempt } => {
+                    if let Some(leaf) = self.sent.swap_remove(&(host, attempt)) {
+                        self.schedule(self.now + HOP, Event::Cancel { leaf, sender: (host, attempt) });
+                    }
+                }
+                event::Output::Answer(answer) => self.on_answer(host, &answer),
+                event::Output::Breach(breach) => self.outcome.breaches.push(format!("{breach:?}")),
+                _ => {}
+            }
+        }
+        if let Some(next) = self.hosts[host].next_timer() {
+            let due = next.0.max(self.now + 1);
+            if due < self.timers_due[host] {
+                self.timers_due[host] = due;
+                self.schedule(due, Event::Timer { host });
+            }
+        }
+    }
+
+    fn active_leaf_fault(&self, leaf: usize) -> Option<LeafFault> {
+        let is_active =
+            |injection: &&Injection| injection.leaf == leaf && injection.from <= self.now && self.now < injection.until;
+        self.plan.injections.iter().find(is_active).map(|injection| injection.fault)
+    }
+
+    fn is_light(&self, host: usize, caller: u64) -> bool {
+        let origin = self.origins.get(&(host, caller)).copied().unwrap_or((host, caller));
+        self.queries.get(&origin).is_some_and(|query| query.is_light)
+    }
+
+    /// Records that a request reached `leaf`. Over all hosts that handle it, it may reach at most two leafs of a shard.
+    fn record_reached(&mut self, host: usize, caller: u64, leaf: usize) {
+        let origin = self.origins.get(&(host, caller)).copied().unwrap_or((host, caller));
+        let reached = self.reached.entry((origin, leaf / self.plan.replicas)).or_default();
+        if !reached.contains(&leaf) {
+            reached.push(leaf);
+        }
+        if reached.len() > 2 {
+            self.outcome
+                .breaches
+                .push(format!("request {origin:?} reached more than two leafs of a shard: {reached:?}"));
+        }
+    }
+
+    fn on_arrival(&mut self, host: usize, dispatch: &event::Dispatch) {
+        if self.active_host_fault(host).is_some() {
+            return;
+        }
+        let attempt = dispatch.attempt;
+        let leaf = dispatch.server.index();
+        if !self.sent.contains_key(&(host, attempt)) {
+            return;
+        }
+        self.record_reached(host, dispatch.caller.0, leaf);
+        if self.is_measured(self.now) {
+            self.arrivals += 1;
+            let is_far = host % self.plan.data_centres != leaf % self.plan.replicas % self.plan.data_centres;
+            self.far_arrivals += u64::from(is_far);
+        }
+        let fault = self.active_leaf_fault(leaf);
+        let sample = self.random.random::<f64>();
+        let slowdown = match fault {
+            Some(LeafFault::Unresponsive) => return,
+            Some(LeafFault::Refusing(fraction)) if sample < fraction => {
+                self.reply(host, attempt, 1, event::Reply::Refused { retry_after: None });
+                return;
+            }
+            Some(LeafFault::Failing(fraction)) if sample < fraction => {
+                self.reply(host, attempt, 2, event::Reply::Failed);
+                return;
+            }
+            Some(LeafFault::Slow(factor)) => factor,
+            _ => 1.0,
+        };
+        let relative_work = if self.is_light(host, dispatch.caller.0) { LIGHT_WORK } else { 1.0 };
+        let work = self.plan.work * relative_work * (0.5 + self.random.random::<f64>()) * slowdown;
+        let handshake = if self.leafs[leaf].connect(host) { 0 } else { self.plan.handshake };
+        match self.leafs[leaf].submit(self.now, (host, attempt), work.round() as u64 + handshake) {
+            Some(started) => self.schedule_completions(leaf, started),
+            None => self.reply(host, attempt, 1, event::Reply::Refused { retry_after: None }),
+        }
+    }
+
+    /// Schedules the completion of the requests that started at a leaf.
+    fn schedule_completions(&mut self, leaf: usize, started: Vec<leaf::Run>) {
+        for run in started {
+            self.schedule(run.ends, Event::Complete { leaf, run });
+        }
+    }
+
+    /// Completes a request at a leaf. The reply reports the remaining load.
+    fn complete(&mut self, leaf: usize, run: leaf::Run) {
+        let Some(started) = self.leafs[leaf].complete(self.now, run) else {
+            return;
+        };
+        self.schedule_completions(leaf, started);
+        let (running, waiting) = self.leafs[leaf].load();
+        let snapshot = view::Snapshot { epoch: 0, version: 0 };
+        let part = event::Part { snapshot, held: None, hits: 1, load: Some(running + waiting), queue: Some(waiting) };
+        let (host, attempt) = run.sender;
+        self.reply(host, attempt, 0, event::Reply::Answered(part));
+    }
+
+    fn reply(&mut self, host: usize, attempt: id::Attempt, delay: u64, reply: event::Reply) {
+        self.sent.swap_remove(&(host, attempt));
+        self.schedule(self.now + delay + HOP, Event::Reply { host, attempt, reply });
+    }
+
+    fn on_answer(&mut self, host: usize, answer: &event::Answer) {
+        if self.active_host_fault(host).is_some() {
+            return;
+        }
+        if let Some((from, attempt)) = self.relayed.swap_remove(&(host, answer.caller.0)) {
+            let snapshot = view::Snapshot { epoch: 0, version: 0 };
+            let part =
+                event::Part { snapshot, held: None, hits: answer.contributed.len() as u32, load: None, queue: None };
+            let reply = match answer.outcome {
+                event::Outcome::Answered => event::Reply::Answered(part),
+                event::Outcome::NotRun => event::Reply::Refused { retry_after: answer.retry_after },
+                event::Outcome::Unknown => event::Reply::Failed,
+            };
+            self.relayed_shards.insert((from, attempt), answer.contributed.len());
+            self.reply(from, attempt, 0, reply);
+            return;
+        }
+        let Some(query) = self.queries.swap_remove(&(host, answer.caller.0)) else {
+            self.outcome.breaches.push("a request was answered twice".to_owned());
+            return;
+        };
+        if !self.is_measured(query.first_at) {
+            return;
+        }
+        let latency = self.now - query.at;
+        if answer.outcome != event::Outcome::Answered {
+            self.outcome.refused += 1;
+            self.outcome.longest_refusal = self.outcome.longest_refusal.max(latency);
+            self.retry(query, answer.retry_after);
+            return;
+        }
+        let latency = self.now - query.first_at;
+        let (target_latency, _) = self.plan.time_limits(query.is_light);
+        self.outcome.answered += 1;
+        self.outcome.latencies.push(latency);
+        let relayed_shards =
+            answer.contributed.first().and_then(|(_, attempt)| self.relayed_shards.get(&(host, *attempt)));
+        let contributed = relayed_shards.copied().unwrap_or(answer.contributed.len());
+        let coverage = contributed as f64 / self.plan.shards as f64;
+        self.outcome.complete += u64::from(contributed == self.plan.shards);
+        let is_in_time = latency <= target_latency;
+        self.outcome.in_time += u64::from(is_in_time);
+        // A retry answered in time, counted from the retry, scores the mean of in time and late.
+        let is_retry_in_time = query.retries > 0 && self.now - query.at <= target_latency;
+        let timeliness = if is_in_time {
+            1.0
+        } else if is_retry_in_time {
+            0.55
+        } else {
+            0.1
+        };
+        self.utilities[usize::from(query.is_light)].0 += coverage * coverage * timeliness;
+    }
+}
+
+fn view(plan: &Plan, host: usize) -> view::View {
+    let mut registry = view::Registry::default();
+    let mut servers = Vec::new();
+    let mut targets = Vec::new();
+    for shard in 0..plan.shards {
+        let mut replicas = Vec::new();
+        let name = format_compact!("s{shard}");
+        for replica in 0..plan.replicas {
+            let leaf = format_compact!("{shard}-{replica}");
+            replicas.push(registry.intern(&leaf));
+            let is_near = replica % plan.data_centres == host % plan.data_centres;
+            servers.push(Some(view::Server {
+                address: leaf.clone(),
+                name: leaf,
+                incarnation: 0,
+                connections: plan.connections,
+                slots: plan.slots as u32,
+                leaving: false,
+                evacuated: false,
+                region: CompactString::default(),
+                distance: if is_near { view::Distance::Near } else { view::Distance::Far },
+                own_share: None,
+                is_peer: false,
+                warm_up: None,
+            }));
+        }
+        targets.push(view::Target { service: registry.intern_service(&name), shard: name, replicas });
+    }
+    let is_owner = host < plan.owners;
+    let peers = if is_owner { 0 } else { plan.owners };
+    let mut relays = Vec::new();
+    for peer in 0..peers {
+        let name = format_compact!("host-{peer}");
+        relays.push(registry.intern(&name));
+        servers.push(Some(view::Server {
+            address: name.clone(),
+            name,
+            incarnation: 0,
+            connections: 64,
+            slots: 64,
+            leaving: false,
+            evacuated: false,
+            region: CompactString::default(),
+            distance: view::Distance::Near,
+            own_share: Some(64),
+            is_peer: true,
+            warm_up: None,
+        }));
+    }
+    let relay = view::Target { shard: CompactString::const_new("peer"), service: id::Service::PEERS, replicas: relays };
+    let class = view::Class {
+        homes: Vec::new(),
+        name: CompactString::const_new("sweep"),
+        service: CompactString::const_new("s0"),
+        epoch: 0,
+        deadline: clock::Millis(plan.deadline),
+        target_latency: Some(clock::Millis(plan.target_latency)),
+        shape: view::Shape::Records { top: 10 },
+        max_servers: Some(2),
+        relay: (!is_owner).then_some(relay),
+        settle: None,
+        least_coverage: ratio::Ratio::try_from(plan.least_coverage).unwrap_or_default(),
+        enough_hits: None,
+        idempotent: true,
+        hedge: true,
+        priority: 1,
+        branches: vec![view::Branch { weight: 1.0, targets }],
+    };
+    // Only the gathering hosts share the fleet-wide limits.
+    let mut limit_shares = IndexMap::new();
+    if plan.owners < plan.hosts {
+        let share = if is_owner { 1.0 / plan.owners as f64 } else { 0.0 };
+        limit_shares.extend((0..plan.shards as u32).map(|service| (id::Service(service), share)));
+    }
+    let stamp = view::Stamp { version: 1, digest: 1, ..view::Stamp::default() };
+    let light = view::Class {
+        name: CompactString::const_new("strip"),
+        deadline: clock::Millis(plan.deadline / 2),
+        target_latency: Some(clock::Millis(plan.target_latency / 2)),
+        least_coverage: ratio::Ratio::try_from(0.75).unwrap_or_default(),
+        priority: 2,
+        ..class.clone()
+    };
+    let mut classes = IndexMap::new();
+    classes.insert(light.name.clone(), light);
+    classes.insert(class.name.clone(), class);
+    view::View {
+        stamp,
+        hosts_revision: stamp,
+        hosts: plan.hosts as u32,
+        classes,
+        servers,
+        limit_shares,
+        ..view::View::default()
+    }
+}
