--- a/benches/capacity/slopes.rs
+++ b/benches/capacity/slopes.rs
@@ -438,7 +438,7 @@
         let most = mesh.hosts.iter().zip(largest_before).map(|(host, before)| host.sent_bytes - before).max();
         points.add("host_change_bytes_most_by_host", count, most.unwrap_or(0) as f64);
         // The platform is away for long enough that no host has a fresh confirmation.
-        mesh.away = true;
+        mesh.platform_down = true;
         mesh.run(40_000);
         let calls = mesh.reads + mesh.watches;
         mesh.run(30_000);
--- a/crates/core/tests/driver/documents.rs
+++ b/crates/core/tests/driver/documents.rs
@@ -1,4 +1,4 @@
-//! What the fake platform publishes.
+//! Documents that the fake platform publishes.
 
 use compact_str::{CompactString, format_compact};
 use indexmap::IndexMap;
@@ -10,10 +10,10 @@
 pub const SHARDS: usize = 6;
 pub const REPLICAS: usize = 2;
 pub const MAILERS: usize = 3;
-/// Connections that a leaf accepts: one or two for each host that may ever run.
+/// Connections that a leaf accepts: one or two for each of the hosts that may run.
 pub const CONNECTIONS: u32 = 13;
-/// Most entry hosts that ever run at once.
-pub const HOSTS_MOST: u32 = 6;
+/// Maximum number of entry hosts that run at once.
+pub const MAX_HOSTS: u32 = 6;
 
 pub fn host_name(host: usize) -> CompactString {
     format_compact!("host-{host}")
@@ -29,7 +29,7 @@
 
 pub fn services(epoch: u64) -> String {
     let mut text =
-        format!("entry_hosts_most: {HOSTS_MOST}\nservices:\n  - name: search\n    epoch: {epoch}\n    shards: [");
+        format!("entry_hosts_most: {MAX_HOSTS}\nservices:\n  - name: search\n    epoch: {epoch}\n    shards: [");
     let shards: Vec<String> = (0..SHARDS).map(|shard| format!("s{shard}")).collect();
     text.push_str(&shards.join(", "));
     text.push_str("]\n    servers:\n");
@@ -49,9 +49,9 @@
     text
 }
 
-pub fn selectors(note: u64) -> String {
+pub fn selectors(change: u64) -> String {
     format!(
-        "# change {note}
+        "# change {change}
 selectors:
   - {{name: sweep, service: search, deadline_ms: 250, settle_ms: 150, least_coverage: 0.5, idempotent: true, hedge: true, priority: 0}}
   - {{name: check, service: search, deadline_ms: 600, least_coverage: 1.0, idempotent: true, hedge: true, priority: 1}}
@@ -82,7 +82,7 @@
     text
 }
 
-/// The text of a manifest of `parts`.
+/// Formats the manifest of `parts`.
 pub fn manifest(version: u64, parts: &IndexMap<CompactString, String>) -> String {
     let mut text = format!("version: {version}\nparts:\n");
     for (key, part) in parts {
--- a/crates/core/tests/driver/fault.rs
+++ b/crates/core/tests/driver/fault.rs
@@ -1,11 +1,11 @@
-//! Faults: what is drawn, how long it lasts, and how it is mended.
+//! Fault injection: the kinds of faults, their durations, and their repair.
 
 use rand::Rng;
 use shallothub_core::clock;
 
-use super::{documents, world};
+use super::{documents, simulation};
 
-/// A fault that will be mended.
+/// An active fault, as needed to repair it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     Kill(usize),
@@ -15,100 +15,105 @@
     Slow(usize),
     LeafLost(usize),
     Shed,
-    PlatformAway,
+    PlatformDown,
     PlatformStale,
     Leave(usize),
     HostLeaves(usize),
 }
 
-/// A kind of fault: its name, how it begins, and for how long it lasts, in ms.
+/// A kind of fault: its name, the function that injects it, and bounds on its duration in ms.
 pub struct Kind {
     pub name: &'static str,
-    begin: fn(&mut world::World) -> Option<Fault>,
-    least: u64,
-    most: u64,
+    inject: fn(&mut simulation::Simulation) -> Option<Fault>,
+    min_ms: u64,
+    max_ms: u64,
 }
 
-const fn kind(name: &'static str, begin: fn(&mut world::World) -> Option<Fault>, least: u64, most: u64) -> Kind {
-    Kind { name, begin, least, most }
+const fn kind(
+    name: &'static str,
+    inject: fn(&mut simulation::Simulation) -> Option<Fault>,
+    min_ms: u64,
+    max_ms: u64,
+) -> Kind {
+    Kind { name, inject, min_ms, max_ms }
 }
 
-/// Every kind.
+/// All kinds of faults.
 pub const ALL: [Kind; 18] = [
     kind("kill", kill, 100, 2000),
-    kind("cut", |world| cut(world, false), 500, 4000),
-    kind("cut one way", |world| cut(world, true), 500, 4000),
+    kind("cut", |simulation| cut(simulation, false), 500, 4000),
+    kind("cut one way", |simulation| cut(simulation, true), 500, 4000),
     kind("partition", partition, 500, 4000),
     kind("freeze", freeze, 0, 0),
-    kind("straggler", slow, 500, 5000),
-    kind("replica lost", lose, 500, 4000),
-    kind("shed storm", shed, 100, 600),
+    kind("straggler", slow_leaf, 500, 5000),
+    kind("replica lost", stop_leaf, 500, 4000),
+    kind("shed storm", shed_load, 100, 600),
     kind("leaf restarts cold", restart_leaf, 0, 0),
-    kind("platform stale", stale, 500, 5000),
-    kind("platform away", away, 500, 5000),
-    kind("versions roll", roll, 0, 0),
+    kind("platform stale", make_platform_stale, 500, 5000),
+    kind("platform away", fail_platform, 500, 5000),
+    kind("versions roll", roll_version, 0, 0),
     kind("repartition", repartition, 0, 0),
-    kind("leaf leaves", leave, 3500, 8000),
-    kind("operators race", race, 0, 0),
+    kind("leaf leaves", mark_leaf_leaving, 3500, 8000),
+    kind("operators race", race_operators, 0, 0),
     kind("host leaves", host_leaves, 500, 3000),
     kind("cut to a leaf", cut_leaf, 500, 4000),
     kind("surge", surge, 0, 0),
 ];
 
-/// Draws one fault, or a pair, and the time of the next draw.
-pub fn draw(world: &mut world::World) {
-    world.after(300, 1500, world::Happening::Fault);
-    let count = if world.random.random_bool(0.4) { 2 } else { 1 };
+/// Injects one or two random faults and schedules the next draw.
+pub fn draw(simulation: &mut simulation::Simulation) {
+    simulation.after(300, 1500, simulation::Event::Fault);
+    let count = if simulation.random.random_bool(0.4) { 2 } else { 1 };
     for _ in 0..count {
-        let names = world.menu;
+        let names = simulation.fault_names;
         let kinds: Vec<&Kind> = ALL.iter().filter(|kind| names.is_empty() || names.contains(&kind.name)).collect();
-        let kind = kinds[world.random.random_range(0..kinds.len())];
-        *world.faults.entry(kind.name).or_default() += 1;
-        if let Some(fault) = (kind.begin)(world) {
-            world.after(kind.least, kind.most, world::Happening::Mend(fault));
+        let kind = kinds[simulation.random.random_range(0..kinds.len())];
+        *simulation.faults.entry(kind.name).or_default() += 1;
+        if let Some(fault) = (kind.inject)(simulation) {
+            simulation.after(kind.min_ms, kind.max_ms, simulation::Event::Repair(fault));
         }
     }
 }
 
-fn any_host(world: &mut world::World) -> usize {
-    world.random.random_range(0..documents::HOSTS)
+fn any_host(simulation: &mut simulation::Simulation) -> usize {
+    simulation.random.random_range(0..documents::HOSTS)
 }
 
-fn any_leaf(world: &mut world::World) -> usize {
-    world.random.random_range(0..world.leaves.len())
+fn any_leaf(simulation: &mut simulation::Simulation) -> usize {
+    simulation.random.random_range(0..simulation.leaves.len())
 }
 
-/// Many callers at once.
-fn surge(world: &mut world::World) -> Option<Fault> {
+/// Sends a burst of queries to every host.
+fn surge(simulation: &mut simulation::Simulation) -> Option<Fault> {
     for host in 0..documents::HOSTS {
         for _ in 0..30 {
-            world.ask(host);
+            simulation.send_query(host);
         }
     }
     None
 }
 
-/// Until when hosts may lack news for a reason that is not theirs.
-fn disturb(world: &mut world::World, span: u64) {
-    world.disturbed_until = world.disturbed_until.max(world.now + clock::Millis(span + 1500));
+/// Extends the period in which injected faults may keep updates from hosts.
+fn disturb(simulation: &mut simulation::Simulation, span: u64) {
+    simulation.disturbed_until = simulation.disturbed_until.max(simulation.now + clock::Millis(span + 1500));
 }
 
-fn kill(world: &mut world::World) -> Option<Fault> {
-    let host = any_host(world);
-    if !world.hosts[host].up {
+fn kill(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let host = any_host(simulation);
+    if !simulation.hosts[host].up {
         return None;
     }
-    disturb(world, 2000);
-    world.hosts[host].up = false;
-    for (_, leaf) in std::mem::take(&mut world.hosts[host].connections) {
-        world.leaves[leaf].connections -= 1;
+    disturb(simulation, 2000);
+    simulation.hosts[host].up = false;
+    for (_, leaf) in std::mem::take(&mut simulation.hosts[host].connections) {
+        simulation.leaves[leaf].connections -= 1;
     }
     Some(Fault::Kill(host))
 }
 
-fn cut(world: &mut world::World, one_way: bool) -> Option<Fault> {
-    let host = any_host(world);
-    disturb(world, 4000);
+fn cut(simulation: &mut simulation::Simulation, one_way: bool) -> Option<Fault> {
+    let host = any_host(simulation);
+    disturb(simulation, 4000);
     let mut links = Vec::new();
     for other in 0..documents::HOSTS {
         links.push((host, other));
@@ -116,18 +121,18 @@
             links.push((other, host));
         }
     }
-    world.cut_peers.extend(links.iter().copied());
+    simulation.cut_peers.extend(links.iter().copied());
     Some(Fault::Cut(links))
 }
 
-fn cut_leaf(world: &mut world::World) -> Option<Fault> {
-    let (host, leaf) = (any_host(world), any_leaf(world));
-    world.cut_leaves.insert((host, leaf));
+fn cut_leaf(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let (host, leaf) = (any_host(simulation), any_leaf(simulation));
+    simulation.cut_leaves.insert((host, leaf));
     Some(Fault::CutLeaf(host, leaf))
 }
 
-fn partition(world: &mut world::World) -> Option<Fault> {
-    disturb(world, 4000);
+fn partition(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    disturb(simulation, 4000);
     let half = documents::HOSTS / 2;
     let mut links = Vec::new();
     for east in 0..half {
@@ -136,156 +141,156 @@
             links.push((west, east));
         }
     }
-    world.cut_peers.extend(links.iter().copied());
+    simulation.cut_peers.extend(links.iter().copied());
     let west: Vec<usize> = (half..documents::HOSTS).collect();
-    world.cut_platform.extend(west.iter().copied());
-    world.after(500, 4000, world::Happening::Mend(Fault::CutPlatform(west)));
+    simulation.cut_platform.extend(west.iter().copied());
+    simulation.after(500, 4000, simulation::Event::Repair(Fault::CutPlatform(west)));
     Some(Fault::Cut(links))
 }
 
-fn freeze(world: &mut world::World) -> Option<Fault> {
-    let host = any_host(world);
-    let span = world.random.random_range(200..6000);
-    world.hosts[host].frozen_until = world.now + clock::Millis(span);
+fn freeze(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let host = any_host(simulation);
+    let span = simulation.random.random_range(200..6000);
+    simulation.hosts[host].frozen_until = simulation.now + clock::Millis(span);
     None
 }
 
-fn slow(world: &mut world::World) -> Option<Fault> {
-    let leaf = any_leaf(world);
-    world.leaves[leaf].slow = 10;
+fn slow_leaf(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let leaf = any_leaf(simulation);
+    simulation.leaves[leaf].slowdown = 10;
     Some(Fault::Slow(leaf))
 }
 
-fn lose(world: &mut world::World) -> Option<Fault> {
-    let leaf = any_leaf(world);
-    world.leaves[leaf].up = false;
+fn stop_leaf(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let leaf = any_leaf(simulation);
+    simulation.leaves[leaf].up = false;
     Some(Fault::LeafLost(leaf))
 }
 
-fn shed(world: &mut world::World) -> Option<Fault> {
-    for leaf in &mut world.leaves {
+fn shed_load(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    for leaf in &mut simulation.leaves {
         leaf.shedding = true;
     }
     Some(Fault::Shed)
 }
 
-fn restart_leaf(world: &mut world::World) -> Option<Fault> {
-    let leaf = any_leaf(world);
-    let row = &mut world.leaves[leaf];
-    row.incarnation += 1;
-    row.busy = 0;
-    row.listed_leaving = false;
-    row.marked_at = None;
-    world.publish_hosts();
+fn restart_leaf(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let leaf = any_leaf(simulation);
+    let state = &mut simulation.leaves[leaf];
+    state.incarnation += 1;
+    state.busy = 0;
+    state.listed_leaving = false;
+    state.leaving_since = None;
+    simulation.publish_hosts();
     None
 }
 
-fn stale(world: &mut world::World) -> Option<Fault> {
-    disturb(world, 5000);
-    if world.platform.stale.is_none() {
-        world.platform.stale = Some(world.platform.values.clone());
+fn make_platform_stale(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    disturb(simulation, 5000);
+    if simulation.platform.stale.is_none() {
+        simulation.platform.stale = Some(simulation.platform.values.clone());
     }
     Some(Fault::PlatformStale)
 }
 
-fn away(world: &mut world::World) -> Option<Fault> {
-    disturb(world, 5000);
-    world.platform.away = true;
-    Some(Fault::PlatformAway)
+fn fail_platform(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    disturb(simulation, 5000);
+    simulation.platform.is_down = true;
+    Some(Fault::PlatformDown)
 }
 
-/// Each leaf changes over when it likes; the first ones now, the rest with the next roll.
-fn roll(world: &mut world::World) -> Option<Fault> {
-    let newest = world.leaves.iter().map(|leaf| leaf.version).max().unwrap_or(1);
-    let next = if world.leaves.iter().all(|leaf| leaf.version == newest) { newest + 1 } else { newest };
-    for leaf in 0..world.leaves.len() {
-        let is_due = next == newest || world.random.random_bool(0.5);
-        let row = &mut world.leaves[leaf];
-        if is_due && row.version != next {
-            row.held = Some(row.version);
-            row.version = next;
+/// Rolls a new index version out: to a random half of the leaves now, to the rest with the next roll.
+fn roll_version(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let newest = simulation.leaves.iter().map(|leaf| leaf.version).max().unwrap_or(1);
+    let next = if simulation.leaves.iter().all(|leaf| leaf.version == newest) { newest + 1 } else { newest };
+    for leaf in 0..simulation.leaves.len() {
+        let is_due = next == newest || simulation.random.random_bool(0.5);
+        let state = &mut simulation.leaves[leaf];
+        if is_due && state.version != next {
+            state.held = Some(state.version);
+            state.version = next;
         }
     }
     None
 }
 
-fn repartition(world: &mut world::World) -> Option<Fault> {
-    for leaf in &mut world.leaves {
+fn repartition(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    for leaf in &mut simulation.leaves {
         if leaf.name.starts_with("leaf") {
             leaf.epoch += 1;
             leaf.held = None;
         }
     }
-    world.publish_config();
+    simulation.publish_config();
     None
 }
 
-fn leave(world: &mut world::World) -> Option<Fault> {
-    let leaf = any_leaf(world);
-    let now = world.now;
-    let row = &mut world.leaves[leaf];
-    if row.marked_at.is_some() {
+fn mark_leaf_leaving(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let leaf = any_leaf(simulation);
+    let now = simulation.now;
+    let state = &mut simulation.leaves[leaf];
+    if state.leaving_since.is_some() {
         return None;
     }
-    row.listed_leaving = true;
-    row.marked_at = Some(now);
-    world.publish_hosts();
+    state.listed_leaving = true;
+    state.leaving_since = Some(now);
+    simulation.publish_hosts();
     Some(Fault::Leave(leaf))
 }
 
 /// Two operators publish different documents under one version.
-fn race(world: &mut world::World) -> Option<Fault> {
-    world.publish_config();
-    world.platform.versions[0] -= 1;
-    world.publish_config();
+fn race_operators(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    simulation.publish_config();
+    simulation.platform.versions[0] -= 1;
+    simulation.publish_config();
     None
 }
 
-fn host_leaves(world: &mut world::World) -> Option<Fault> {
-    let host = any_host(world);
-    if world.leaving_hosts.len() + 1 < documents::HOSTS && !world.leaving_hosts.contains(&host) {
-        world.leaving_hosts.push(host);
-        world.publish_hosts();
+fn host_leaves(simulation: &mut simulation::Simulation) -> Option<Fault> {
+    let host = any_host(simulation);
+    if simulation.leaving_hosts.len() + 1 < documents::HOSTS && !simulation.leaving_hosts.contains(&host) {
+        simulation.leaving_hosts.push(host);
+        simulation.publish_hosts();
     }
     Some(Fault::HostLeaves(host))
 }
 
-/// Ends a fault.
-pub fn mend(world: &mut world::World, fault: Fault) {
+/// Repairs a fault.
+pub fn repair(simulation: &mut simulation::Simulation, fault: Fault) {
     match fault {
         Fault::Kill(host) => {
-            let life = world.hosts[host].life + 1;
-            world.hosts[host] = world::host(host, life, world.seed, world.now);
-            world.at(world.now, world::Happening::Tick { host, life });
+            let life = simulation.hosts[host].life + 1;
+            simulation.hosts[host] = simulation::host(host, life, simulation.seed, simulation.now);
+            simulation.at(simulation.now, simulation::Event::Tick { host, life });
         }
-        Fault::Cut(links) => world.cut_peers.retain(|link| !links.contains(link)),
-        Fault::CutPlatform(hosts) => world.cut_platform.retain(|host| !hosts.contains(host)),
+        Fault::Cut(links) => simulation.cut_peers.retain(|link| !links.contains(link)),
+        Fault::CutPlatform(hosts) => simulation.cut_platform.retain(|host| !hosts.contains(host)),
         Fault::CutLeaf(host, leaf) => {
-            world.cut_leaves.swap_remove(&(host, leaf));
+            simulation.cut_leaves.swap_remove(&(host, leaf));
         }
-        Fault::Slow(leaf) => world.leaves[leaf].slow = 1,
+        Fault::Slow(leaf) => simulation.leaves[leaf].slowdown = 1,
         Fault::LeafLost(leaf) => {
-            let row = &mut world.leaves[leaf];
-            row.up = true;
-            row.busy = 0;
+            let state = &mut simulation.leaves[leaf];
+            state.up = true;
+            state.busy = 0;
         }
         Fault::Shed => {
-            for leaf in &mut world.leaves {
+            for leaf in &mut simulation.leaves {
                 leaf.shedding = false;
             }
         }
-        Fault::PlatformAway => world.platform.away = false,
-        Fault::PlatformStale => world.platform.stale = None,
-        Fault::Leave(leaf) => lie_about(world, leaf),
+        Fault::PlatformDown => simulation.platform.is_down = false,
+        Fault::PlatformStale => simulation.platform.stale = None,
+        Fault::Leave(leaf) => list_as_live(simulation, leaf),
         Fault::HostLeaves(host) => {
-            world.leaving_hosts.retain(|other| *other != host);
-            world.publish_hosts();
+            simulation.leaving_hosts.retain(|other| *other != host);
+            simulation.publish_hosts();
         }
     }
 }
 
-/// A lagging list shows the leaving leaf as live once more, under the same incarnation.
-fn lie_about(world: &mut world::World, leaf: usize) {
-    world.leaves[leaf].listed_leaving = false;
-    world.publish_hosts();
+/// Publishes a stale list that shows the leaving leaf as live again, under the same incarnation.
+fn list_as_live(simulation: &mut simulation::Simulation, leaf: usize) {
+    simulation.leaves[leaf].listed_leaving = false;
+    simulation.publish_hosts();
 }
--- a/crates/core/tests/driver/leaf.rs
+++ b/crates/core/tests/driver/leaf.rs
@@ -1,20 +1,20 @@
-//! A fake backend server and its ledger.
+//! A fake backend server and the log of its executions.
 
 use compact_str::CompactString;
 use shallothub_core::{clock, view};
 
-/// Who asks: a host, its life, and the caller's handle there.
+/// Identifies a query: the host, its life, and the caller's number on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Asker {
+pub struct Requester {
     pub host: usize,
     pub life: u32,
     pub caller: u64,
 }
 
-/// A search that was begun.
+/// A query that a leaf started to execute.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    pub asker: Asker,
+    pub requester: Requester,
     pub key: Option<CompactString>,
     pub idempotent: bool,
 }
@@ -27,16 +27,16 @@
     pub epoch: u64,
     pub version: u64,
     pub held: Option<u64>,
-    /// In the list of hosts.
+    /// Whether the published list of hosts marks it as leaving.
     pub listed_leaving: bool,
-    /// Since when this incarnation is marked.
-    pub marked_at: Option<clock::Millis>,
-    pub slow: u64,
+    /// When this incarnation was marked as leaving.
+    pub leaving_since: Option<clock::Millis>,
+    pub slowdown: u64,
     pub shedding: bool,
     pub busy: u32,
-    /// Attempts of all hosts that hold a connection.
+    /// Open connections from all hosts.
     pub connections: u32,
-    pub connections_most: u32,
+    pub peak_connections: u32,
 }
 
 impl Leaf {
@@ -49,12 +49,12 @@
             version: 1,
             held: None,
             listed_leaving: false,
-            marked_at: None,
-            slow: 1,
+            leaving_since: None,
+            slowdown: 1,
             shedding: false,
             busy: 0,
             connections: 0,
-            connections_most: 0,
+            peak_connections: 0,
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    pub fn other(&self, given: view::Snapshot) -> Option<view::Snapshot> {
+    pub fn other_snapshot(&self, given: view::Snapshot) -> Option<view::Snapshot> {
         let version = if given.version == self.version { self.held? } else { self.version };
         Some(view::Snapshot { epoch: self.epoch, version })
     }
--- a/crates/core/tests/driver/mod.rs
+++ b/crates/core/tests/driver/mod.rs
@@ -1,9 +1,9 @@
-//! A small driver for the cores: several hosts, fake servers with a ledger, a fake platform, and
-//! links that lose, delay and reorder. One seed decides everything, and the ledger of the servers
-//! judges, not the program's own word.
+//! Deterministic simulation of the cores: several hosts, fake servers that log executions, a fake
+//! platform, and links that lose, delay and reorder. One seed determines a run, and promises are
+//! checked against the log of the servers, not against the program's own assertions.
 
 pub mod documents;
 pub mod fault;
-pub mod judge;
 pub mod leaf;
-pub mod world;
+pub mod oracle;
+pub mod simulation;
--- a/crates/core/tests/held.rs
+++ b/crates/core/tests/held.rs
@@ -1,4 +1,4 @@
-//! Requests that are held, and proof that a server died, at one host.
+//! Handling of suspect and held requests, and detection of server crashes, at one host.
 
 #[expect(unreachable_pub, reason = "a module of this test alone")]
 mod sharded;
@@ -16,13 +16,13 @@
 
 use sharded::one_leaf;
 
-const ASKED: Fingerprint = Fingerprint(1);
+const SUSPECT: Fingerprint = Fingerprint(1);
 
 fn view(shards: usize, connections: u32) -> view::View {
     sharded::view(shards, 2, connections)
 }
 
-/// One host, and the time there.
+/// One host and its clock, in ms.
 struct Host {
     now: u64,
     core: traffic::Core,
@@ -41,14 +41,14 @@
         self.core.step(clock::Millis(self.now), [input])
     }
 
-    fn ask(&mut self, caller: u64) -> Vec<event::Output> {
-        let request = event::Request { fingerprint: Some(ASKED), ..one_leaf::request(caller) };
+    fn send_request(&mut self, caller: u64) -> Vec<event::Output> {
+        let request = event::Request { fingerprint: Some(SUSPECT), ..one_leaf::request(caller) };
         self.step(event::Input::Request(request))
     }
 
-    /// Control says what this host does with the request.
-    fn set(&mut self, standing: Option<Standing>) -> Vec<event::Output> {
-        let suspects = standing.map(|standing| (ASKED, standing)).into_iter().collect();
+    /// Delivers the standing of the request from the control core.
+    fn set_standing(&mut self, standing: Option<Standing>) -> Vec<event::Output> {
+        let suspects = standing.map(|standing| (SUSPECT, standing)).into_iter().collect();
         self.step(event::Input::Suspects(Arc::new(suspects)))
     }
 
@@ -56,7 +56,7 @@
         self.step(event::Input::Reply { attempt, reply })
     }
 
-    /// Serves harmless requests until the servers' limits have grown and the budgets for hedges are full.
+    /// Serves harmless requests until the servers' limits have grown and the hedge budgets are full.
     fn warm_up(&mut self) {
         for caller in 1000..1100 {
             for attempt in sent(&self.step(event::Input::Request(one_leaf::request(caller)))) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Steps each ms for `span` ms.
+    /// Ticks every ms for `span` ms.
     fn wait(&mut self, span: u64) -> Vec<event::Output> {
         let mut outputs = Vec::new();
         for _ in 0..span {
@@ -105,7 +105,7 @@
     outputs.iter().filter_map(server).collect()
 }
 
-fn asked_trial(outputs: &[event::Output]) -> Option<Trial> {
+fn requested_trial(outputs: &[event::Output]) -> Option<Trial> {
     outputs.iter().find_map(|output| match output {
         event::Output::RequestTrial(trial) => Some(*trial),
         _ => None,
@@ -121,64 +121,64 @@
     Some(Standing::Held { trial_at: clock::Millis(until) })
 }
 
-/// A search runs on all shards when its host learns that it crashes servers: the servers that still run it must not
-/// die as well, and its caller hears that nobody knows what came of it.
+/// A request runs on all shards when its host learns that it crashes servers: its attempts must be cancelled, so that
+/// the other servers don't crash too, and its caller must get `Unknown`.
 #[test]
-fn what_runs_already_ends_when_it_is_held() {
+fn running_attempts_are_cancelled_when_a_request_is_held() {
     let mut host = Host::new(view(6, 8));
-    let outputs = host.ask(1);
+    let outputs = host.send_request(1);
     assert_eq!(sent(&outputs).len(), 6);
-    let outputs = host.set(held(5000));
+    let outputs = host.set_standing(held(5000));
     assert_eq!(cancelled(&outputs), 6);
     assert_eq!(answers(&outputs), [(event::Outcome::Unknown, event::Code::AttemptLost)]);
 }
 
-/// A search waits for room at busy servers when it becomes known to crash them. It must not reach them after that.
+/// A request is queued for busy servers when it becomes known to crash them. It must not be sent after that.
 #[rstest]
 #[case::suspect(Standing::Suspect { trial_at: clock::Millis(5000) })]
 #[case::held(Standing::Held { trial_at: clock::Millis(5000) })]
-fn what_waits_for_a_server_is_not_sent(#[case] standing: Standing) {
+fn a_queued_request_is_not_sent_once_it_is_suspect(#[case] standing: Standing) {
     let mut host = Host::new(view(1, 1));
     let first = sent(&host.step(event::Input::Request(one_leaf::request(1))));
     let second = sent(&host.step(event::Input::Request(one_leaf::request(2))));
     assert_eq!((first.len(), second.len()), (1, 1));
-    assert!(sent(&host.ask(3)).is_empty());
-    let mut outputs = host.set(Some(standing));
+    assert!(sent(&host.send_request(3)).is_empty());
+    let mut outputs = host.set_standing(Some(standing));
     outputs.extend(host.reply(first[0], answered()));
     assert!(sent(&outputs).is_empty());
     assert_eq!(answers(&outputs)[0], (event::Outcome::NotRun, event::Code::CrashesServers));
 }
 
-/// What a server answered meanwhile goes on: it is not what crashes servers.
+/// A server answered the request before it was held: it does not crash servers, and must go on.
 #[test]
-fn what_a_server_answered_goes_on() {
+fn a_request_that_a_server_answered_is_not_cancelled() {
     let mut host = Host::new(view(2, 8));
-    let attempts = sent(&host.ask(1));
+    let attempts = sent(&host.send_request(1));
     host.reply(attempts[0], answered());
-    let outputs = host.set(held(5000));
-    assert!(outputs.iter().any(|output| matches!(output, event::Output::Cleared(ASKED))));
+    let outputs = host.set_standing(held(5000));
+    assert!(outputs.iter().any(|output| matches!(output, event::Output::Cleared(SUSPECT))));
     assert_eq!(cancelled(&outputs), 0);
     let outputs = host.reply(attempts[1], answered());
     assert_eq!(answers(&outputs), [(event::Outcome::Answered, event::Code::Ok)]);
 }
 
-/// A request becomes suspected while it runs: a server that is silent since may be dying of it, and a second one must
+/// A request becomes suspect while it runs: a server that does not reply may be crashing on it, and a second one must
 /// not get it.
 #[test]
-fn what_becomes_suspected_is_not_hedged() {
+fn a_suspect_is_not_hedged() {
     let mut host = Host::new(view(1, 8));
     host.warm_up();
-    assert_eq!(sent(&host.ask(1)).len(), 1);
-    host.set(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
+    assert_eq!(sent(&host.send_request(1)).len(), 1);
+    host.set_standing(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
     assert!(sent(&host.wait(200)).is_empty());
 }
 
-/// A search runs on all shards when its host learns that one server died of it: the others may answer.
+/// A request runs on all shards when its host learns that one server crashed on it: the others may still answer.
 #[test]
-fn what_runs_already_goes_on_while_it_is_suspected() {
+fn running_attempts_continue_when_a_request_is_suspect() {
     let mut host = Host::new(view(6, 8));
-    let attempts = sent(&host.ask(1));
-    let outputs = host.set(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
+    let attempts = sent(&host.send_request(1));
+    let outputs = host.set_standing(Some(Standing::Suspect { trial_at: clock::Millis(5000) }));
     assert_eq!(cancelled(&outputs), 0);
     for attempt in &attempts[..5] {
         assert!(answers(&host.reply(*attempt, answered())).is_empty());
@@ -186,38 +186,38 @@
     assert_eq!(answers(&host.reply(attempts[5], answered())), [(event::Outcome::Answered, event::Code::Ok)]);
 }
 
-/// A request that is suspected or held reaches one server when a trial is granted, and none before. While it waits for
-/// that or runs, further attempts are refused.
+/// A suspect or held request must reach no server before a trial is granted, and then only one. While the trial is
+/// pending or runs, further requests are refused.
 #[rstest]
 #[case::suspect(Standing::Suspect { trial_at: clock::Millis(1) })]
 #[case::held(Standing::Held { trial_at: clock::Millis(1) })]
 fn a_trial_reaches_one_server(#[case] standing: Standing) {
     let mut host = Host::new(view(3, 8));
-    host.set(Some(standing));
-    let outputs = host.ask(1);
+    host.set_standing(Some(standing));
+    let outputs = host.send_request(1);
     assert!(sent(&outputs).is_empty() && answers(&outputs).is_empty());
-    let trial = asked_trial(&outputs).expect("it asks for a trial");
+    let trial = requested_trial(&outputs).expect("a trial is requested");
     let refused = [(event::Outcome::NotRun, event::Code::CrashesServers)];
-    assert_eq!(answers(&host.ask(2)), refused);
-    // That a trial was granted is told before to whom.
-    assert!(answers(&host.set(held(2000))).is_empty());
+    assert_eq!(answers(&host.send_request(2)), refused);
+    // The new standing arrives before the grant itself.
+    assert!(answers(&host.set_standing(held(2000))).is_empty());
     let attempts = sent(&host.step(event::Input::Granted(trial)));
     assert_eq!(attempts.len(), 1);
-    assert_eq!(answers(&host.ask(3)), refused);
+    assert_eq!(answers(&host.send_request(3)), refused);
     let outputs = host.reply(attempts[0], event::Reply::Refused { retry_after: None });
     assert!(sent(&outputs).is_empty());
     assert_eq!(answers(&outputs), refused);
 }
 
-/// The first server of a trial answers: the request is harmless, and its other shards are asked.
+/// The first server of a trial answers: the request is cleared and must be sent to its other shards.
 #[test]
 fn a_trial_that_is_answered_goes_to_all_shards() {
     let mut host = Host::new(view(3, 8));
-    host.set(held(1));
-    let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
+    host.set_standing(held(1));
+    let trial = requested_trial(&host.send_request(1)).expect("a trial is requested");
     let attempts = sent(&host.step(event::Input::Granted(trial)));
     let outputs = host.reply(attempts[0], answered());
-    assert!(outputs.iter().any(|output| matches!(output, event::Output::Cleared(ASKED))));
+    assert!(outputs.iter().any(|output| matches!(output, event::Output::Cleared(SUSPECT))));
     let attempts = sent(&outputs);
     assert_eq!(attempts.len(), 2);
     host.reply(attempts[0], answered());
@@ -225,24 +225,24 @@
     assert_eq!(answers(&outputs), [(event::Outcome::Answered, event::Code::Ok)]);
 }
 
-/// Nobody grants the trial, since another one runs or a message was lost: the caller is told at once, and a grant that
-/// comes too late sends nothing.
+/// A trial is not granted, since another one runs or a message was lost: the caller must be refused at once, and a late
+/// grant must send nothing.
 #[test]
-fn a_trial_that_nobody_grants_is_refused() {
+fn a_trial_without_a_grant_is_refused() {
     let mut host = Host::new(view(1, 8));
-    host.set(held(1));
-    let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
+    host.set_standing(held(1));
+    let trial = requested_trial(&host.send_request(1)).expect("a trial is requested");
     let outputs = host.wait(100);
     assert_eq!(answers(&outputs), [(event::Outcome::NotRun, event::Code::CrashesServers)]);
     assert!(sent(&host.step(event::Input::Granted(trial))).is_empty());
 }
 
-/// No server of a trial could be reached: it is told, so that it does not count.
+/// No server of a trial could be reached: the trial must be reported as unused, so that it does not count.
 #[test]
-fn a_trial_that_reached_nobody_is_told() {
+fn a_trial_that_reached_no_server_is_reported_as_unused() {
     let mut host = Host::new(view(1, 8));
-    host.set(held(1));
-    let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
+    host.set_standing(held(1));
+    let trial = requested_trial(&host.send_request(1)).expect("a trial is requested");
     let mut outputs = host.step(event::Input::Granted(trial));
     while host.now < one_leaf::DEADLINE.0 + 100 {
         if outputs.iter().any(|output| matches!(output, event::Output::TrialUnused(unused) if *unused == trial)) {
@@ -254,19 +254,19 @@
             outputs.extend(host.reply(attempt, event::Reply::NotSent));
         }
     }
-    panic!("it counts");
+    panic!("the trial was not reported as unused");
 }
 
-/// A server is dead and nobody else asks it: a connection that is refused proves it.
+/// A server crashed and gets no other requests: a probe whose connection is refused must prove the crash.
 #[rstest]
 #[case::dead(event::Liveness::Dead, 1)]
 #[case::alive(event::Liveness::Listening, 0)]
 #[case::unknown(event::Liveness::Unknown, 0)]
-fn a_connection_proves_that_a_server_died(#[case] liveness: event::Liveness, #[case] crashes: usize) {
+fn a_refused_connection_proves_a_crash(#[case] liveness: event::Liveness, #[case] crashes: usize) {
     let mut view = view(1, 8);
     view.classes[0].idempotent = false;
     let mut host = Host::new(view);
-    let attempts = sent(&host.ask(1));
+    let attempts = sent(&host.send_request(1));
     host.reply(attempts[0], event::Reply::Lost(event::Loss::Broken));
     let outputs = host.wait(50);
     let probed = outputs.iter().find_map(|output| match output {
@@ -277,7 +277,7 @@
     assert_eq!(crashed(&outputs).len(), crashes);
 }
 
-/// A probe holds one of the connections that a server accepts from this host, also when nothing comes of it.
+/// A probe must count against the connections that a server accepts from this host, also if it gets no result.
 #[test]
 fn a_probe_holds_a_connection() {
     let mut view = view(1, 2);
@@ -285,7 +285,7 @@
     view.classes[0].branches[0].targets[0].replicas.truncate(1);
     let mut host = Host::new(view);
     host.warm_up();
-    let attempts = sent(&host.ask(1));
+    let attempts = sent(&host.send_request(1));
     host.reply(attempts[0], event::Reply::Lost(event::Loss::Broken));
     let outputs = host.wait(50);
     assert!(outputs.iter().any(|output| matches!(output, event::Output::Probe { .. })));
@@ -296,66 +296,65 @@
     assert!(busy <= 1, "{busy} attempts beside the probe, where two connections are accepted");
     let mut outputs = host.wait(400);
     outputs.extend(host.step(event::Input::Request(one_leaf::request(6))));
-    assert!(!sent(&outputs).is_empty(), "the connection does not come back");
+    assert!(!sent(&outputs).is_empty(), "the connection of the probe was not released");
     assert!(!outputs.iter().any(|output| matches!(output, event::Output::Breach(_))), "{outputs:?}");
 }
 
-/// A server died and started anew at its address before anybody asked it again: the new one says that it is another,
-/// which is proof, and no reason to forget what was lost.
+/// A server crashed and restarted at its address before the next request: `Misdirected` from the new incarnation must
+/// count as proof of the crash, and must not discard the lost attempts.
 #[test]
-fn another_server_at_the_address_proves_that_one_died() {
+fn a_new_server_at_the_address_proves_a_crash() {
     let mut view = view(1, 8);
     view.classes[0].branches[0].targets[0].replicas.truncate(1);
     let mut host = Host::new(view);
     host.warm_up();
-    let first = sent(&host.ask(1));
+    let first = sent(&host.send_request(1));
     let second = sent(&host.step(event::Input::Request(one_leaf::request(2))));
     host.reply(first[0], event::Reply::Lost(event::Loss::Broken));
     let outputs = host.reply(second[0], event::Reply::Misdirected);
     assert_eq!(crashed(&outputs), ["leaf-0-0@1"]);
 }
 
-/// A server that fails part of its requests answers 500 before it runs what would crash it. That speaks for nothing.
+/// A server that fails part of its requests may answer 500 before it runs the crashing request: this must not clear it.
 #[test]
-fn a_failure_speaks_for_nobody() {
+fn a_failed_reply_does_not_clear_a_suspect() {
     let mut host = Host::new(view(1, 8));
-    host.set(Some(Standing::Suspect { trial_at: clock::Millis(1) }));
-    let trial = asked_trial(&host.ask(1)).expect("it asks for a trial");
+    host.set_standing(Some(Standing::Suspect { trial_at: clock::Millis(1) }));
+    let trial = requested_trial(&host.send_request(1)).expect("a trial is requested");
     let attempts = sent(&host.step(event::Input::Granted(trial)));
     let outputs = host.reply(attempts[0], event::Reply::Failed);
     assert!(!outputs.iter().any(|output| matches!(output, event::Output::Cleared(_))), "{outputs:?}");
 }
 
-/// A deployment has one server, which tells no incarnation and dies each time under the same name. Each death counts.
+/// A server that reports no incarnation crashes repeatedly under the same name: each crash must count.
 #[test]
-fn a_server_without_an_incarnation_dies_more_than_once() {
+fn each_crash_of_a_server_without_incarnations_counts() {
     let mut view = view(1, 8);
     view.classes[0].idempotent = false;
     view.classes[0].branches[0].targets[0].replicas.truncate(1);
     view.servers.iter_mut().flatten().for_each(|server| server.incarnation = 0);
     let mut host = Host::new(view);
-    let mut deaths = Vec::new();
+    let mut reported = Vec::new();
     for caller in 1..4 {
-        let attempts = sent(&host.ask(caller));
+        let attempts = sent(&host.send_request(caller));
         host.reply(attempts[0], event::Reply::Lost(event::Loss::Broken));
         for output in host.wait(50) {
             if let event::Output::Probe { server, .. } = output {
-                deaths.extend(crashed(&host.step(event::Input::Probed { server, liveness: event::Liveness::Dead })));
+                reported.extend(crashed(&host.step(event::Input::Probed { server, liveness: event::Liveness::Dead })));
             }
         }
     }
-    deaths.dedup();
-    assert_eq!(deaths.len(), 3, "{deaths:?}");
+    reported.dedup();
+    assert_eq!(reported.len(), 3, "{reported:?}");
 }
 
-/// A caller hangs up before its request has crashed its server, each time: a server that runs on all the same dies of
-/// it, and that counts.
+/// A caller hangs up before its request crashes the server, which still runs it: the crash must count.
 #[test]
-fn what_a_caller_gave_up_counts_too() {
+fn a_crash_after_the_caller_hung_up_counts() {
     let mut view = view(1, 8);
     view.classes[0].branches[0].targets[0].replicas.truncate(1);
     let mut host = Host::new(view);
-    assert_eq!(sent(&host.ask(1)).len(), 1);
+    assert_eq!(sent(&host.send_request(1)).len(), 1);
     host.step(event::Input::HangUp(id::Caller(1)));
     host.wait(50);
     let attempts = sent(&host.step(event::Input::Request(one_leaf::request(2))));
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Requests that may be run and gathered in some regions only: neither they nor their bodies go anywhere else.
+//! Routes with home regions: requests and their bodies must not be sent to leafs or hosts in other regions.
 
 use std::sync::Arc;
 
@@ -14,19 +14,19 @@
 const SHARDS: usize = 6;
 
 fn regions() -> plan::Regions {
-    REGIONS.iter().map(|region| (centre(region), CompactString::from(*region))).collect()
+    REGIONS.iter().map(|region| (data_centre_of(region), CompactString::from(*region))).collect()
 }
 
-fn centre(region: &str) -> CompactString {
+fn data_centre_of(region: &str) -> CompactString {
     format_compact!("{region}-1")
 }
 
-fn leaf(service: &str, centre: &str) -> plan::Part {
+fn leaf(service: &str, data_centre: &str) -> plan::Part {
     plan::Part::Leaf(plan::Leaf {
-        name: format_compact!("{service}-{centre}"),
+        name: format_compact!("{service}-{data_centre}"),
         service: service.into(),
-        data_centre: centre.into(),
-        address: format_compact!("{service}-{centre}:80"),
+        data_centre: data_centre.into(),
+        address: format_compact!("{service}-{data_centre}:80"),
         slots: 2,
         leaving: false,
         warming: false,
@@ -53,8 +53,8 @@
     format_compact!("s{shard}")
 }
 
-/// Each service has a leaf in each region and one where nobody knows the region, but for those in `dark`.
-fn parts(homes: &[&str], dark: &str) -> Vec<plan::Part> {
+/// Each service has a leaf in each region except `without_leafs`, and one in a data centre of unknown region.
+fn parts(homes: &[&str], without_leafs: &str) -> Vec<plan::Part> {
     let gather = plan::Destination::Gather {
         services: (0..SHARDS).map(shard).collect(),
         top: 10,
@@ -64,8 +64,10 @@
     let services: Vec<CompactString> = (0..SHARDS).map(shard).chain(["letters".into(), "mail".into()]).collect();
     let mut parts = Vec::new();
     for service in &services {
-        for centre in REGIONS.iter().filter(|region| **region != dark).map(|region| centre(region)) {
-            parts.push(leaf(service, &centre));
+        for data_centre in
+            REGIONS.iter().filter(|region| **region != without_leafs).map(|region| data_centre_of(region))
+        {
+            parts.push(leaf(service, &data_centre));
         }
         parts.push(leaf(service, "nowhere"));
     }
@@ -79,14 +81,14 @@
     parts
 }
 
-/// Six hosts in each region, of which the first two are strong.
+/// Six hosts in each region, of which the first two have more power.
 fn hosts() -> Vec<plan::Relay> {
     let mut hosts = Vec::new();
     for region in REGIONS {
         for host in 0..6 {
             hosts.push(plan::Relay {
                 name: format_compact!("host-{region}-{host}"),
-                data_centre: centre(region),
+                data_centre: data_centre_of(region),
                 address: format_compact!("{region}-{host}:7391"),
                 power: if host < 2 { 500 } else { 120 },
                 is_open: true,
@@ -96,17 +98,23 @@
     hosts
 }
 
-/// The view of the host at `place`.
-fn view(place: usize, homes: &[&str], dark: &str, revision: u64) -> view::View {
-    view_among(hosts(), place, homes, dark, revision)
+/// The view of `hosts()[index]`.
+fn view(index: usize, homes: &[&str], without_leafs: &str, revision: u64) -> view::View {
+    view_among(hosts(), index, homes, without_leafs, revision)
 }
 
-/// The same where these are all hosts.
-fn view_among(mut relays: Vec<plan::Relay>, place: usize, homes: &[&str], dark: &str, revision: u64) -> view::View {
-    let this = relays.remove(place);
-    let (regions, parts) = (regions(), parts(homes, dark));
+/// The view of `relays[index]` in a fleet of just `relays`.
+fn view_among(
+    mut relays: Vec<plan::Relay>,
+    index: usize,
+    homes: &[&str],
+    without_leafs: &str,
+    revision: u64,
+) -> view::View {
+    let local = relays.remove(index);
+    let (regions, parts) = (regions(), parts(homes, without_leafs));
     let fleet = plan::Fleet {
-        local: Some(&this),
+        local: Some(&local),
         relays: &relays,
         members: relays.len() as u32 + 1,
         is_settled: true,
@@ -125,25 +133,25 @@
     REGIONS.into_iter().find(|region| name.contains(region)).unwrap_or("nowhere")
 }
 
-/// Whatever the host, leafs and hosts that gather for it are in the homes; a leaf whose region nobody knows is in
-/// none. Routes without homes are free.
+/// On every host, the target leafs and relays of a route must be in its homes; a leaf of unknown region is in none.
+/// Routes without homes are unrestricted.
 #[rstest]
 #[case::one(&["east"])]
 #[case::two(&["south", "west"])]
 #[case::unknown(&["north"])]
 #[case::anywhere(&[])]
-fn leafs_and_hosts_outside_of_the_homes_get_nothing(#[case] homes: &[&str]) {
+fn leafs_and_hosts_outside_the_homes_are_not_targets(#[case] homes: &[&str]) {
     let is_home = |region: &str| homes.is_empty() || homes.contains(&region);
     let (mut leafs, mut relays) = (0, 0);
-    for place in 0..hosts().len() {
-        let view = view(place, homes, "", 1);
+    for index in 0..hosts().len() {
+        let view = view(index, homes, "", 1);
         for class in view.classes.values() {
             for &id in class.branches.iter().flat_map(|branch| &branch.targets).flat_map(|target| &target.replicas) {
-                assert!(is_home(region_of(&view, id)), "{} to a leaf in {}", class.name, region_of(&view, id));
+                assert!(is_home(region_of(&view, id)), "{} targets a leaf in {}", class.name, region_of(&view, id));
                 leafs += 1;
             }
             for &id in class.relay.iter().flat_map(|relay| &relay.replicas) {
-                assert!(is_home(region_of(&view, id)), "a body goes to a host in {}", region_of(&view, id));
+                assert!(is_home(region_of(&view, id)), "a body is relayed to a host in {}", region_of(&view, id));
                 relays += 1;
             }
         }
@@ -152,26 +160,26 @@
     assert_eq!((leafs > 0, relays > 0), (is_anywhere, is_anywhere));
 }
 
-/// A host that gathers for a route at home does not for one whose homes are elsewhere, and holds no connections for it.
+/// A host must not gather for a route whose homes are in other regions, and must hold no connections for it.
 #[test]
-fn hosts_outside_of_the_homes_do_not_gather_for_others() {
+fn hosts_outside_the_homes_hold_no_connections_for_a_route() {
     let view = view(0, &["west"], "", 1);
-    let relay = view.classes["sweep"].relay.as_ref().expect("it is passed on");
+    let relay = view.classes["sweep"].relay.as_ref().expect("the route is relayed");
     assert!(relay.replicas.iter().all(|&id| region_of(&view, id) == "west"));
-    assert!(view.limit_shares.values().all(|part| *part == 0.0), "{:?}", view.limit_shares);
+    assert!(view.limit_shares.values().all(|share| *share == 0.0), "{:?}", view.limit_shares);
 }
 
-/// No host stands in the only home, but leafs do. The host that a caller reached asks them itself, and hands the body
-/// to no other host; else what has such a home would be served nowhere.
+/// The only home has leafs but no hosts. The host that received the request sends it to them itself and relays the
+/// body to no other host; otherwise routes with such a home would not be served at all.
 #[test]
-fn a_home_without_hosts_is_served_from_elsewhere() {
+fn a_home_without_hosts_is_served_by_the_receiving_host() {
     let hosts: Vec<plan::Relay> = hosts().into_iter().filter(|host| !host.name.contains("south")).collect();
-    for place in 0..hosts.len() {
-        let view = view_among(hosts.clone(), place, &["south"], "", 1);
+    for index in 0..hosts.len() {
+        let view = view_among(hosts.clone(), index, &["south"], "", 1);
         assert!(view.classes["sweep"].relay.is_none());
         let mut core = core(view);
-        let sent = dispatched(&ask(&mut core, 10, "sweep"));
-        assert_eq!(sent.len(), SHARDS, "the host at {place}");
+        let sent = dispatched(&send_request(&mut core, 10, "sweep"));
+        assert_eq!(sent.len(), SHARDS, "host {index}");
         assert!(sent.iter().all(|dispatch| dispatch.name.contains("south") && dispatch.relayed.is_none()));
     }
 }
@@ -183,7 +191,7 @@
     core
 }
 
-fn ask(core: &mut traffic::Core, now: u64, class: &str) -> Vec<event::Output> {
+fn send_request(core: &mut traffic::Core, now: u64, class: &str) -> Vec<event::Output> {
     let request = event::Request {
         caller: id::Caller(now),
         class: class.into(),
@@ -203,32 +211,32 @@
     outputs.iter().filter_map(dispatch).collect()
 }
 
-/// All leafs at home are gone. Callers hear at once that nothing was run and when to come back; the leafs of other
-/// regions are well and get nothing.
+/// All leafs in the home are gone. Callers must get an immediate `NotRun` with a retry delay; the healthy leafs of
+/// other regions must get nothing.
 #[rstest]
-fn a_home_without_leafs_is_a_refusal(#[values("sweep", "split")] class: &str) {
+fn a_home_without_leafs_refuses_at_once(#[values("sweep", "split")] class: &str) {
     let mut core = core(view(0, &["east"], "east", 1));
-    let outputs = ask(&mut core, 10, class);
+    let outputs = send_request(&mut core, 10, class);
     assert!(dispatched(&outputs).is_empty());
     let answer = outputs.iter().find_map(|output| match output {
         event::Output::Answer(answer) => Some(answer),
         _ => None,
     });
-    let answer = answer.expect("an answer at once");
+    let answer = answer.expect("an immediate answer");
     assert_eq!((answer.outcome, answer.code), (event::Outcome::NotRun, event::Code::NoReplica));
     assert!(answer.retry_after.is_some());
 }
 
-/// The same while requests wait to be passed on: their bodies go to no host outside of the new homes.
+/// Homes are added while requests are being relayed: retries must not relay bodies outside the new homes.
 #[test]
-fn a_change_of_homes_holds_for_requests_that_are_passed_on() {
+fn a_change_of_homes_applies_to_relayed_requests() {
     let mut core = core(view(2, &[], "", 1));
     let mut sent = Vec::new();
     for step in 0..12 {
-        sent.extend(dispatched(&ask(&mut core, 10 + step, "sweep")));
+        sent.extend(dispatched(&send_request(&mut core, 10 + step, "sweep")));
     }
-    let at_home = |dispatch: &event::Dispatch| dispatch.name.contains("south");
-    assert!(sent.iter().any(|dispatch| dispatch.relayed.is_some() && !at_home(dispatch)), "{sent:?}");
+    let is_in_home = |dispatch: &event::Dispatch| dispatch.name.contains("south");
+    assert!(sent.iter().any(|dispatch| dispatch.relayed.is_some() && !is_in_home(dispatch)), "{sent:?}");
     let mut outputs = core.step(clock::Millis(30), [event::Input::View(Arc::new(view(2, &["south"], "", 2)))]);
     for dispatch in sent {
         outputs.extend(core.step(
@@ -239,21 +247,21 @@
     for step in 0..20 {
         outputs.extend(core.step(clock::Millis(32 + step * 5), [event::Input::Tick]));
     }
-    let again = dispatched(&outputs);
-    assert!(!again.is_empty());
-    assert!(again.iter().all(at_home), "{again:?}");
+    let retried = dispatched(&outputs);
+    assert!(!retried.is_empty());
+    assert!(retried.iter().all(is_in_home), "{retried:?}");
 }
 
-/// Operators give a route homes while its requests run. What fails then is tried again at home only.
+/// Homes are added to a route while its requests run: failed attempts must be retried in the new homes only.
 #[test]
-fn a_change_of_homes_holds_for_requests_that_run() {
+fn a_change_of_homes_applies_to_running_requests() {
     let mut core = core(view(0, &[], "", 1));
     let mut sent = Vec::new();
     for step in 0..12 {
-        sent.extend(dispatched(&ask(&mut core, 10 + step, "split")));
+        sent.extend(dispatched(&send_request(&mut core, 10 + step, "split")));
     }
-    let at_home = |dispatch: &event::Dispatch| dispatch.name.contains("south");
-    assert!(!sent.iter().all(at_home));
+    let is_in_home = |dispatch: &event::Dispatch| dispatch.name.contains("south");
+    assert!(!sent.iter().all(is_in_home));
     let mut outputs = core.step(clock::Millis(30), [event::Input::View(Arc::new(view(0, &["south"], "", 2)))]);
     for dispatch in sent {
         let reply = event::Reply::Refused { retry_after: None };
@@ -262,7 +270,7 @@
     for step in 0..20 {
         outputs.extend(core.step(clock::Millis(32 + step * 5), [event::Input::Tick]));
     }
-    let again = dispatched(&outputs);
-    assert!(!again.is_empty());
-    assert!(again.iter().all(at_home), "{again:?}");
+    let retried = dispatched(&outputs);
+    assert!(!retried.is_empty());
+    assert!(retried.iter().all(is_in_home), "{retried:?}");
 }
--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The greatest records of the shards, against sorting them all.
+//! Merging the greatest records of the shards, compared with sorting all records.
 
 use rand::{Rng, SeedableRng, rngs};
 use shallothub_core::merge;
@@ -10,7 +10,7 @@
     records.into_iter().take(top).flatten().copied().collect()
 }
 
-/// Few values make equal records common, and lengths are often no multiple of a record.
+/// A small range of values makes equal records common, and lengths are often no multiple of the record size.
 #[test]
 fn merged_records_are_the_greatest_of_all() {
     for seed in 0..500 {
--- a/crates/core/tests/mesh/mod.rs
+++ b/crates/core/tests/mesh/mod.rs
@@ -1,5 +1,5 @@
-//! Many control cores with a fake platform and links, in fake time: who is told what, when, and at
-//! what cost. Used by the tests of spreading and by the bench of capacity.
+//! Simulation of many control cores with a fake platform and links, in virtual time: delay and cost
+//! of propagating catalogs. Used by the propagation tests and the capacity bench.
 
 use std::{cmp, collections::BinaryHeap, sync::Arc};
 
@@ -11,7 +11,7 @@
 
 const TICK: clock::Millis = clock::Millis(100);
 
-enum Happening {
+enum Event {
     Tick(usize),
     Input(usize, control::Input),
 }
@@ -39,21 +39,21 @@
     pub hosts: Vec<Host>,
     pub data_centres: usize,
     pub values: IndexMap<CompactString, Arc<str>>,
-    pub away: bool,
+    pub platform_down: bool,
     /// Hosts that cannot reach the platform.
     pub cut_platform: IndexSet<usize>,
-    /// Links that are cut, one way.
-    pub cut: IndexSet<(usize, usize)>,
+    /// Cut links, as (sender, receiver).
+    pub cut_links: IndexSet<(usize, usize)>,
     pub reads: u64,
     pub watches: u64,
-    /// Size of a message on the wire, if it is to be counted.
+    /// Encoded size of a message in bytes; `None` if bytes are not counted.
     pub measure: Option<fn(&control::message::Message) -> usize>,
     versions: [u64; 2],
-    waiting: Vec<Watch>,
+    pending_watches: Vec<Watch>,
     addresses: IndexMap<CompactString, usize>,
     random: rngs::SmallRng,
     heap: BinaryHeap<cmp::Reverse<(clock::Millis, u64)>>,
-    happenings: IndexMap<u64, Happening>,
+    events: IndexMap<u64, Event>,
     sequence: u64,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Mesh {
-    /// `count` hosts in `data_centres`, each started within its own first tick.
+    /// `count` hosts in `data_centres`, each started at a random time within the first tick.
     pub fn new(count: usize, data_centres: usize, policy: &control::Policy, seed: u64) -> Self {
         let mut hosts = Vec::new();
         let mut addresses = IndexMap::new();
@@ -100,37 +100,37 @@
             hosts,
             data_centres,
             values: IndexMap::new(),
-            away: false,
+            platform_down: false,
             cut_platform: IndexSet::new(),
-            cut: IndexSet::new(),
+            cut_links: IndexSet::new(),
             reads: 0,
             watches: 0,
             measure: None,
             versions: [0; 2],
-            waiting: Vec::new(),
+            pending_watches: Vec::new(),
             addresses,
             random: rngs::SmallRng::seed_from_u64(seed),
             heap: BinaryHeap::new(),
-            happenings: IndexMap::new(),
+            events: IndexMap::new(),
             sequence: 0,
         };
         mesh.publish_config(1);
         mesh.publish_hosts(&[]);
         for host in 0..count {
-            mesh.after(0, 100, Happening::Tick(host));
+            mesh.after(0, 100, Event::Tick(host));
         }
         mesh
     }
 
-    fn at(&mut self, at: clock::Millis, happening: Happening) {
+    fn at(&mut self, at: clock::Millis, scheduled: Event) {
         self.sequence += 1;
         self.heap.push(cmp::Reverse((at, self.sequence)));
-        self.happenings.insert(self.sequence, happening);
+        self.events.insert(self.sequence, scheduled);
     }
 
-    fn after(&mut self, least: u64, most: u64, happening: Happening) {
-        let delay = self.random.random_range(least..=most);
-        self.at(self.now + clock::Millis(delay), happening);
+    fn after(&mut self, min_ms: u64, max_ms: u64, scheduled: Event) {
+        let delay = self.random.random_range(min_ms..=max_ms);
+        self.at(self.now + clock::Millis(delay), scheduled);
     }
 
     pub fn run(&mut self, span: u64) {
@@ -141,13 +141,13 @@
             }
             self.heap.pop();
             self.now = at.max(self.now);
-            match self.happenings.swap_remove(&sequence) {
-                Some(Happening::Tick(host)) => {
-                    self.at(self.now + TICK, Happening::Tick(host));
+            match self.events.swap_remove(&sequence) {
+                Some(Event::Tick(host)) => {
+                    self.at(self.now + TICK, Event::Tick(host));
                     self.end_watches(Some(host));
                     self.step(host, control::Input::Tick);
                 }
-                Some(Happening::Input(host, input)) => self.step(host, input),
+                Some(Event::Input(host, input)) => self.step(host, input),
                 None => continue,
             }
         }
@@ -159,36 +159,36 @@
             return;
         }
         for output in self.hosts[host].core.step(self.now, [input]) {
-            self.carry_out(host, output);
+            self.apply_output(host, output);
         }
         for kind in catalog::Kind::ALL {
             let stamp = self.hosts[host].core.stamp(kind);
-            let row = &mut self.hosts[host];
-            let before = row.in_force[kind.index()];
+            let state = &mut self.hosts[host];
+            let before = state.in_force[kind.index()];
             if before != stamp {
-                row.reverts += u32::from(stamp < before);
-                row.in_force[kind.index()] = stamp;
-                row.in_force_at[kind.index()] = self.now;
+                state.reverts += u32::from(stamp < before);
+                state.in_force[kind.index()] = stamp;
+                state.in_force_at[kind.index()] = self.now;
             }
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: control::Output) {
+    fn apply_output(&mut self, host: usize, output: control::Output) {
         match output {
             control::Output::ReadManifest(kind) => {
                 self.reads += 1;
                 let text = self.value(host, kind.manifest_key());
-                self.after(2, 5, Happening::Input(host, control::Input::Manifest { kind, is_watch: false, text }));
+                self.after(2, 5, Event::Input(host, control::Input::Manifest { kind, is_watch: false, text }));
             }
             control::Output::ReadPart { kind, key } => {
                 self.reads += 1;
                 let text = self.value(host, &key);
-                self.after(2, 5, Happening::Input(host, control::Input::Part { kind, key, text }));
+                self.after(2, 5, Event::Input(host, control::Input::Part { kind, key, text }));
             }
             control::Output::Watch { kind, after } => {
                 self.watches += 1;
                 let until = self.now + control::Policy::default().watch;
-                self.waiting.push(Watch { host, kind, after, until });
+                self.pending_watches.push(Watch { host, kind, after, until });
                 self.end_watches(None);
             }
             control::Output::Send { to, message, .. } => self.send(host, &to, message),
@@ -204,27 +204,27 @@
         }
     }
 
-    /// Answers watches that have news or waited long enough; all of them, or those of one host.
+    /// Answers watches whose document changed or whose time-out passed, of one host or of all.
     fn end_watches(&mut self, host: Option<usize>) {
         let mut index = 0;
-        while index < self.waiting.len() {
-            let watch = &self.waiting[index];
-            let is_cut = self.away || self.cut_platform.contains(&watch.host);
-            let is_news = watch.after != self.versions[watch.kind.index()];
-            let is_asked = host.is_none_or(|host| host == watch.host);
-            if !is_asked || !is_cut && !is_news && watch.until > self.now {
+        while index < self.pending_watches.len() {
+            let watch = &self.pending_watches[index];
+            let is_cut = self.platform_down || self.cut_platform.contains(&watch.host);
+            let has_changed = watch.after != self.versions[watch.kind.index()];
+            let is_selected = host.is_none_or(|host| host == watch.host);
+            if !is_selected || !is_cut && !has_changed && watch.until > self.now {
                 index += 1;
                 continue;
             }
-            let watch = self.waiting.swap_remove(index);
+            let watch = self.pending_watches.swap_remove(index);
             let text = self.value(watch.host, watch.kind.manifest_key());
             let input = control::Input::Manifest { kind: watch.kind, is_watch: true, text };
-            self.after(2, 5, Happening::Input(watch.host, input));
+            self.after(2, 5, Event::Input(watch.host, input));
         }
     }
 
     fn value(&self, host: usize, key: &str) -> Option<Arc<str>> {
-        if self.away || self.cut_platform.contains(&host) {
+        if self.platform_down || self.cut_platform.contains(&host) {
             return None;
         }
         self.values.get(key).cloned()
@@ -239,12 +239,12 @@
             self.hosts[from].sent_bytes += bytes;
             self.hosts[host].received_bytes += bytes;
         }
-        if self.cut.contains(&(from, host)) {
+        if self.cut_links.contains(&(from, host)) {
             return;
         }
         let is_near = from % self.data_centres == host % self.data_centres;
-        let (least, most) = if is_near { (1, 2) } else { (2, 40) };
-        self.after(least, most, Happening::Input(host, control::Input::Peer(message)));
+        let (min_ms, max_ms) = if is_near { (1, 2) } else { (2, 40) };
+        self.after(min_ms, max_ms, Event::Input(host, control::Input::Peer(message)));
     }
 
     fn publish(&mut self, kind: catalog::Kind, parts: &[(CompactString, String)]) {
@@ -270,19 +270,19 @@
         self.publish(catalog::Kind::Config, &parts);
     }
 
-    /// Another text under the version that is out: what a tool does that does not count on.
+    /// Publishes another text under the current version, as a tool does that does not increment it.
     pub fn publish_config_under_same_version(&mut self, change: u64) {
         self.versions[catalog::Kind::Config.index()] -= 1;
         self.publish_config(change);
     }
 
-    /// The list of hosts in parts of 100, without the hosts in `gone`.
-    pub fn publish_hosts(&mut self, gone: &[usize]) {
+    /// Publishes the list of hosts in parts of 100, with those in `leaving` marked as leaving.
+    pub fn publish_hosts(&mut self, leaving: &[usize]) {
         let mut parts = Vec::new();
         for first in (0..self.hosts.len()).step_by(100) {
             let mut text = "entry_hosts:\n".to_owned();
             for host in first..(first + 100).min(self.hosts.len()) {
-                let state = if gone.contains(&host) { "leaving" } else { "live" };
+                let state = if leaving.contains(&host) { "leaving" } else { "live" };
                 text.push_str(&format!(
                     "  - {{name: {}, data_centre: dc-{}, peer: \"{}\", state: {state}}}\n",
                     name(host),
@@ -297,21 +297,21 @@
         self.publish(catalog::Kind::Hosts, &parts);
     }
 
-    /// Time from `since` until the newest catalog was in force, for each host that is up; `None` for
-    /// those where it is not.
+    /// Time in ms from `since` until the newest catalog was in force, for each host that is up;
+    /// `None` where it is not in force.
     pub fn times(&self, kind: catalog::Kind, since: clock::Millis) -> Vec<Option<u64>> {
         let version = self.versions[kind.index()];
         let mut times = Vec::new();
         for host in self.hosts.iter().filter(|host| host.up) {
-            let is_there = host.in_force[kind.index()].version == version;
-            times.push(is_there.then(|| host.in_force_at[kind.index()].since(since).0));
+            let is_in_force = host.in_force[kind.index()].version == version;
+            times.push(is_in_force.then(|| host.in_force_at[kind.index()].since(since).0));
         }
         times
     }
 
-    /// The slowest of [`Self::times`]; panics if a host does not have it.
+    /// Maximum of [`Self::times`]; panics if the catalog is not in force on a host.
     pub fn slowest(&self, kind: catalog::Kind, since: clock::Millis) -> u64 {
         let times = self.times(kind, since);
-        times.into_iter().map(|time| time.expect("in force")).max().unwrap_or(0)
+        times.into_iter().map(|time| time.expect("catalog not in force")).max().unwrap_or(0)
     }
 }
--- a/crates/core/tests/sharded/mod.rs
+++ b/crates/core/tests/sharded/mod.rs
@@ -1,4 +1,4 @@
-//! The view of `one_leaf` over some shards with replicas.
+//! The view of `one_leaf`, extended to several shards with replicas.
 
 #[path = "../one_leaf/mod.rs"]
 pub mod one_leaf;
@@ -6,8 +6,8 @@
 use compact_str::format_compact;
 use shallothub_core::{id, view};
 
-/// The selector `ask` over `shards` shards of `replicas` leafs, `leaf-SHARD-REPLICA`, each of which accepts
-/// `connections`.
+/// The selector `ask` over `shards` shards with `replicas` leafs each, named `leaf-SHARD-REPLICA`, each of
+/// which accepts `connections`.
 pub fn view(shards: usize, replicas: usize, connections: u32) -> view::View {
     let mut view = view::View::clone(&one_leaf::view(connections));
     let leaf = view.servers[0].clone().expect("the leaf");
@@ -16,14 +16,14 @@
     class.hedge = true;
     class.branches[0].targets.clear();
     for shard in 0..shards {
-        let mut names = Vec::new();
+        let mut servers = Vec::new();
         for replica in 0..replicas {
             let name = format_compact!("leaf-{shard}-{replica}");
-            names.push(id::Server(view.servers.len() as u32));
+            servers.push(id::Server(view.servers.len() as u32));
             view.servers.push(Some(view::Server { address: name.clone(), name, ..leaf.clone() }));
         }
         let (shard, service) = (format_compact!("shard-{shard}"), id::Service(0));
-        class.branches[0].targets.push(view::Target { shard, service, replicas: names });
+        class.branches[0].targets.push(view::Target { shard, service, replicas: servers });
     }
     view
 }
--- a/crates/core/tests/suspect.rs
+++ b/crates/core/tests/suspect.rs
@@ -1,5 +1,5 @@
-//! The table of requests that crash servers: when one is held or convicted, how often it is tried, and that all hosts
-//! come to the same end.
+//! The table of requests that crash servers: when a request is held or convicted, how many trials it gets, and that
+//! all hosts converge.
 
 use compact_str::format_compact;
 use proptest::prelude::*;
@@ -29,8 +29,8 @@
     matches!(table.standing(Fingerprint(fingerprint)), Some(Standing::Convicted { .. }))
 }
 
-/// A table in which three servers crashed of request 1.
-fn held() -> Table {
+/// A table in which request 1 crashed three servers.
+fn held_table() -> Table {
     let mut table = Table::default();
     for server in 1..4 {
         table.record_crash(NOW, &crash(1, server as u64, server));
@@ -43,13 +43,13 @@
     NOW + clock::Millis(ms)
 }
 
-/// Three servers hold a request, in one attempt or in several; less does not, and crashes alone never convict.
+/// Crashes of three servers, in one attempt or several, hold a request; fewer don't, and crashes alone never convict.
 #[rstest]
 #[case::one_loss(&[(1, 1)], false)]
 #[case::two_servers(&[(1, 1), (2, 2), (3, 1)], false)]
-#[case::a_search_that_reaches_many(&[(1, 1), (1, 2), (1, 3), (1, 4), (1, 5)], true)]
-#[case::once_more(&[(1, 1), (1, 2), (2, 3)], true)]
-#[case::twice_more(&[(1, 1), (2, 2), (3, 3)], true)]
+#[case::one_attempt_at_five_servers(&[(1, 1), (1, 2), (1, 3), (1, 4), (1, 5)], true)]
+#[case::three_servers_in_two_attempts(&[(1, 1), (1, 2), (2, 3)], true)]
+#[case::three_servers_in_three_attempts(&[(1, 1), (2, 2), (3, 3)], true)]
 fn three_servers_hold_a_request(#[case] crashes: &[(u64, usize)], #[case] holds: bool) {
     let mut table = Table::default();
     for &(attempt, server) in crashes {
@@ -60,11 +60,10 @@
     assert_eq!(table.standing(Fingerprint(2)), None);
 }
 
-/// A request is convicted by its trials: two of them crash servers. Crashes of attempts that began before count as
-/// none.
+/// Two trials that crash servers convict a request. Crashes of attempts that began earlier must not count as trials.
 #[test]
 fn two_crashed_trials_convict() {
-    let mut table = held();
+    let mut table = held_table();
     assert!(table.grant_trial(NOW, trial(10)));
     table.record_crash(NOW, &crash(1, 9, 9));
     table.record_crash(NOW, &crash(1, 10, 10));
@@ -74,11 +73,11 @@
     assert!(is_convicted(&table, 1));
 }
 
-/// A trial counts when it begins: while one runs there is no second one, wherever it is asked for.
+/// A trial counts from its grant: while one runs, no host may grant a second one.
 #[test]
 fn no_second_trial_begins_while_one_runs() {
-    let mut table = held();
-    let mut other = held();
+    let mut table = held_table();
+    let mut other = held_table();
     assert!(table.grant_trial(NOW, trial(10)));
     other.merge(NOW, &table.record(NOW, Fingerprint(1)));
     for at in [0, 500, 1999] {
@@ -87,11 +86,11 @@
     assert!(other.grant_trial(later(2000), trial(12)));
 }
 
-/// Two hosts that do not hear of each other each granted a trial, and both crashed servers: together that convicts, and
-/// nobody grants another one. A host that starts later does not put the next one off.
+/// Two hosts without contact each granted a trial, and both crashed servers: merged, the records convict, and no other
+/// trial is granted. A host that starts later must not delay the next trial.
 #[test]
-fn trials_at_two_hosts_convict_together() {
-    let (mut here, mut there) = (held(), held());
+fn crashed_trials_at_two_hosts_convict() {
+    let (mut here, mut there) = (held_table(), held_table());
     for (table, attempt) in [(&mut here, 10), (&mut there, 11)] {
         assert!(table.grant_trial(NOW, trial(attempt)));
         table.record_crash(NOW, &crash(1, attempt, attempt as usize));
@@ -104,10 +103,10 @@
     assert!(fresh.grant_trial(later(11_000_000), trial(12)));
 }
 
-/// Trials whose servers refuse them prove nothing, and do not go on for ever. Those that reached no server are none.
+/// Trials that servers refuse prove nothing, but must be limited in number. Those that reached no server don't count.
 #[test]
-fn trials_without_an_end_are_few() {
-    let mut table = held();
+fn trials_without_a_result_are_limited() {
+    let mut table = held_table();
     let mut reached = 0;
     for step in 0..300_u64 {
         let attempt = trial(100 + step);
@@ -124,34 +123,34 @@
     assert!(!is_convicted(&table, 1));
 }
 
-/// An answer takes back what is known, also from hosts that hear of it before they hear what it takes back.
+/// An answer clears the recorded crashes, also on hosts that receive the answer before the crashes.
 #[test]
-fn an_answer_takes_back_what_is_known() {
-    let before = held();
-    let mut table = held();
+fn an_answer_clears_a_request() {
+    let before = held_table();
+    let mut table = held_table();
     assert!(table.record_answer(NOW, Fingerprint(1)));
     assert_eq!(table.standing(Fingerprint(1)), None);
     let mut other = Table::default();
     other.merge(NOW, &table.record(NOW, Fingerprint(1)));
     other.merge(NOW, &before.record(NOW, Fingerprint(1)));
     assert_eq!(other.standing(Fingerprint(1)), None);
-    // What crashes later counts anew.
+    // Later crashes count again.
     other.record_crash(NOW, &crash(1, 20, 20));
     assert!(matches!(other.standing(Fingerprint(1)), Some(Standing::Suspect { .. })));
 }
 
 proptest! {
-    /// Hosts hear of the same crashes, trials and answers in any order, some twice, some by another host.
+    /// Hosts receive the same crashes, trials and answers in any order, duplicated and through other hosts.
     #[test]
-    fn order_does_not_matter(
+    fn merge_order_does_not_matter(
         events in prop::collection::vec((0_u64..4, 0_usize..5, prop::bool::weighted(0.1)), 1..12),
         order in prop::collection::vec(any::<u32>(), 12),
     ) {
-        // Each event is what one host knows.
-        let told: Vec<Record> = events
+        // Each event gives the record of one host.
+        let records: Vec<Record> = events
             .iter()
             .map(|&(attempt, server, is_answered)| {
-                let mut table = held();
+                let mut table = held_table();
                 table.grant_trial(NOW, trial(attempt));
                 table.record_crash(NOW, &crash(1, attempt, server));
                 if is_answered {
@@ -161,13 +160,13 @@
             })
             .collect();
         let mut here = Table::default();
-        told.iter().for_each(|told| { here.merge(NOW, told); });
-        let mut shuffled: Vec<_> = told.iter().zip(order).collect();
+        records.iter().for_each(|record| { here.merge(NOW, record); });
+        let mut shuffled: Vec<_> = records.iter().zip(order).collect();
         shuffled.sort_by_key(|(_, order)| *order);
         let mut there = Table::default();
-        for (told, _) in shuffled {
+        for (record, _) in shuffled {
             let mut other = Table::default();
-            other.merge(NOW, told);
+            other.merge(NOW, record);
             for _ in 0..2 {
                 there.merge(NOW, &other.record(NOW, Fingerprint(1)));
             }
@@ -177,29 +176,30 @@
     }
 }
 
-/// Hosts ask for trials all the time, and each trial crashes its server: three in a day, and in the month after it.
+/// Hosts keep requesting trials, and each trial crashes its server: three may be granted in a day, and no more in the
+/// month after it.
 #[test]
-fn trials_are_few() {
+fn repeated_trials_are_limited() {
     let mut tables: Vec<Table> = vec![Table::default(); 8];
     for (attempt, table) in tables.iter_mut().enumerate().skip(1).take(3) {
         table.record_crash(NOW, &crash(1, attempt as u64, attempt));
     }
-    let spread = |tables: &mut Vec<Table>, now| {
-        let told: Vec<_> = tables.iter_mut().flat_map(|table| table.take_records(now, 16)).collect();
+    let exchange = |tables: &mut Vec<Table>, now| {
+        let records: Vec<_> = tables.iter_mut().flat_map(|table| table.take_records(now, 16)).collect();
         tables.iter_mut().for_each(|table| {
-            told.iter().for_each(|told| {
-                table.merge(now, told);
+            records.iter().for_each(|record| {
+                table.merge(now, record);
             })
         });
     };
-    spread(&mut tables, NOW);
+    exchange(&mut tables, NOW);
     let mut trials = Vec::new();
     let mut now = NOW;
     while now.0 < 20 * DAY {
         now = now + clock::Millis(60_000);
         for table in &mut tables {
             table.expire(now);
-            assert!(is_held(table, 1), "let go after {now}");
+            assert!(is_held(table, 1), "no longer held at {now}");
         }
         let host = (now.0 / 60_000) as usize % 8;
         let attempt = trial(100 + trials.len() as u64);
@@ -207,15 +207,15 @@
             trials.push(now);
             tables[host].record_crash(now, &crash(1, attempt.attempt, 100 + trials.len()));
         }
-        spread(&mut tables, now);
+        exchange(&mut tables, now);
     }
     assert_eq!(trials.len(), 3, "{trials:?}");
 }
 
-/// A flood of different suspects drops the oldest of them, and never what is held.
+/// A flood of different suspects must evict the oldest suspects, and never a held request.
 #[test]
 fn a_flood_of_suspects_drops_nothing_that_is_held() {
-    let mut table = held();
+    let mut table = held_table();
     for fingerprint in 10..20_000 {
         table.record_crash(NOW + clock::Millis(fingerprint as u64), &crash(fingerprint, 1, 1));
     }
@@ -225,9 +225,9 @@
     assert!(table.standing(Fingerprint(10)).is_none());
 }
 
-/// Suspects are forgotten after some hours. One that comes every few minutes would else never be convicted.
+/// Suspects expire after some hours. If they expired sooner, one sent every few minutes would never be convicted.
 #[test]
-fn a_suspect_is_forgotten() {
+fn a_suspect_expires() {
     let mut table = Table::default();
     table.record_crash(NOW, &crash(1, 1, 1));
     assert!(!table.expire(later(3_600_000)));
@@ -235,9 +235,9 @@
     assert!(table.expire(later(4 * 3_600_000)) && table.is_empty());
 }
 
-/// A request that nobody knows any more comes one attempt at a time: the first is sent, two are trials, and no more.
+/// A crashing request without records is sent one attempt at a time: the first untested, two as trials, then no more.
 #[test]
-fn three_attempts_convict_what_nobody_knew() {
+fn three_attempts_convict_an_expired_request() {
     let mut table = Table::default();
     table.record_crash(NOW, &crash(1, 1, 1));
     let mut attempts = 1;
