--- a/crates/core/tests/registry/entries.rs
+++ b/crates/core/tests/registry/entries.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng, rngs};
 use rstest::rstest;
 
-use super::{fleet::Fleet, started};
+use super::{fleet::Fleet, start_fleet};
 
 /// The sorted names of the servers in the view of `host`, without peers.
 pub(super) fn server_names(fleet: &Fleet, host: usize) -> Vec<&str> {
@@ -21,13 +21,13 @@
     #[values(0, 4000)] outage: u64,
     #[values(1, 2)] seed: u64,
 ) {
-    let mut fleet = started(hosts, 4, seed);
-    fleet.store.away = outage > 0;
+    let mut fleet = start_fleet(hosts, 4, seed);
+    fleet.store.is_unavailable = outage > 0;
     fleet.run_until(8000 + outage / 2);
     fleet.remove("leaf/3-0");
     fleet.put("leaf/3-0-again", "s3 dc-3 ready");
     fleet.run_until(8000 + outage);
-    fleet.store.away = false;
+    fleet.store.is_unavailable = false;
     fleet.run_until(14_000 + outage);
     for host in 0..hosts {
         assert!(fleet.may_use(host, "3-0-again"), "host {host} does not use the restarted server under its new name");
@@ -43,7 +43,7 @@
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
     let mut random = rngs::SmallRng::seed_from_u64(seed);
-    let mut fleet = started(hosts, 3, seed);
+    let mut fleet = start_fleet(hosts, 3, seed);
     for _ in 0..40 {
         let until = fleet.now + random.random_range(1..600);
         fleet.run_until(until);
@@ -52,11 +52,11 @@
         match random.random_range(0..10) {
             0..5 => fleet.put(&key, &format!("s{shard} dc-0 ready")),
             5..8 => fleet.remove(&key),
-            8 => fleet.store.away = !fleet.store.away,
-            _ => fleet.forget_history(),
+            8 => fleet.store.is_unavailable = !fleet.store.is_unavailable,
+            _ => fleet.compact_history(),
         }
     }
-    fleet.store.away = false;
+    fleet.store.is_unavailable = false;
     fleet.run_until(fleet.now + 8000);
     let mut listed: Vec<String> =
         fleet.store.keys_with_prefix("leaf/").map(|key| key["leaf/".len()..].to_owned()).collect();
@@ -69,7 +69,7 @@
 /// Guards against a refused configuration taking effect when a view is compiled after a host or a server changes.
 #[rstest]
 fn a_refused_configuration_is_in_no_view(#[values(1, 2)] seed: u64) {
-    let mut fleet = started(8, 4, seed);
+    let mut fleet = start_fleet(8, 4, seed);
     fleet.allows_refusals = true;
     fleet.put("config", "2 0");
     fleet.run_until(10_000);
--- a/crates/core/tests/registry/evacuation.rs
+++ b/crates/core/tests/registry/evacuation.rs
@@ -1,82 +1,85 @@
-//! Operators evacuate a data centre: its servers get nothing from any host, soon, until that is taken back.
+//! Operators evacuate a data centre: within seconds no host sends work to its servers, until the evacuation is revoked.
 
 use rstest::rstest;
 use shallothub_core::{control::note, mutant};
 
-use super::{fleet::Fleet, started};
+use super::{fleet::Fleet, start_fleet};
 
-/// When the operators' word is acknowledged, in ms.
-const WORD: u64 = 10_000;
-/// Time until the last host acts on the word, in ms: in the median of all that may happen meanwhile, and at the
-/// worst. Operators are promised some seconds; what is left of them is for requests on their way.
-const MEDIAN: u64 = 1000;
-const LAST: u64 = 3000;
+/// Time at which the evacuation is written, in ms.
+const EVACUATED_AT: u64 = 10_000;
+/// Limits for the time until the last host acts on the evacuation, in ms: for the median over all disturbances, and for
+/// the worst. Operators are promised some seconds; the rest is for requests in flight.
+const MEDIAN_LIMIT: u64 = 1000;
+const WORST_LIMIT: u64 = 3000;
 
-/// A leaf of each data centre, by the places that `publish` gives them.
+/// A leaf of each data centre, as spread by `publish`.
 const LEAFS: [&str; 4] = ["0-0", "1-0", "2-0", "3-0"];
 
-/// Hosts that are up and may send new work to the leafs of `centre`.
-fn using(fleet: &Fleet, centre: usize) -> Vec<usize> {
-    (0..fleet.hosts.len()).filter(|&host| fleet.hosts[host].up && fleet.may_use(host, LEAFS[centre])).collect()
+/// Hosts that are up and may send new work to the leafs of `data_centre`.
+fn hosts_using(fleet: &Fleet, data_centre: usize) -> Vec<usize> {
+    (0..fleet.hosts.len()).filter(|&host| fleet.hosts[host].is_up && fleet.may_use(host, LEAFS[data_centre])).collect()
 }
 
-/// Lets hosts act on the word that has just evacuated `centre`. The time until the last one has, in ms.
-fn last_to_act(fleet: &mut Fleet, centre: usize) -> u64 {
-    let since = fleet.now;
-    while !using(fleet, centre).is_empty() {
+/// Runs until no host uses `data_centre`, which has just been evacuated, and returns the time that this took, in ms.
+fn time_to_act(fleet: &mut Fleet, data_centre: usize) -> u64 {
+    let start = fleet.now;
+    while !hosts_using(fleet, data_centre).is_empty() {
         fleet.run_until(fleet.now + 10);
-        let late = using(fleet, centre);
-        assert!(fleet.now - since <= LAST || late.is_empty(), "{late:?} still use dc-{centre} after {LAST} ms");
+        let remaining = hosts_using(fleet, data_centre);
+        assert!(
+            fleet.now - start <= WORST_LIMIT || remaining.is_empty(),
+            "{remaining:?} still use dc-{data_centre} after {WORST_LIMIT} ms"
+        );
     }
-    fleet.now - since
+    fleet.now - start
 }
 
-/// What else happens while operators evacuate a data centre.
+/// A disturbance at the moment of an evacuation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Meanwhile {
-    /// Nothing.
+enum Disturbance {
+    /// No disturbance.
     Nothing,
     /// A second data centre is evacuated at the same moment.
-    Another,
-    /// The same one was taken back a moment ago.
-    TakenBackBefore,
-    /// The registry turns two of three hosts away.
-    Refuses,
-    /// The registry tells nobody of the change, and then forgets it.
-    Forgets,
-    /// The hosts that watch the registry have just died.
-    WatchersDie,
-    /// A storm of changes of other entries.
-    Storm,
+    SecondEvacuation,
+    /// An evacuation of the same data centre was just revoked.
+    RecentRevocation,
+    /// The registry refuses two of three hosts.
+    RefusedHosts,
+    /// The registry notifies no watch of the change and then discards its history.
+    LostHistory,
+    /// All watchers of the registry have just been killed.
+    KilledWatchers,
+    /// Many other entries change.
+    ManyChanges,
 }
 
-impl Meanwhile {
+impl Disturbance {
     const ALL: [Self; 7] = [
         Self::Nothing,
-        Self::Another,
-        Self::TakenBackBefore,
-        Self::Refuses,
-        Self::Forgets,
-        Self::WatchersDie,
-        Self::Storm,
+        Self::SecondEvacuation,
+        Self::RecentRevocation,
+        Self::RefusedHosts,
+        Self::LostHistory,
+        Self::KilledWatchers,
+        Self::ManyChanges,
     ];
 
-    fn happen(self, fleet: &mut Fleet) {
+    fn apply(self, fleet: &mut Fleet) {
         let hosts = fleet.hosts.len();
         match self {
             Self::Nothing => {}
-            Self::Another => fleet.put("evacuate/dc-3", "{}"),
-            Self::TakenBackBefore => {
+            Self::SecondEvacuation => fleet.put("evacuate/dc-3", "{}"),
+            Self::RecentRevocation => {
                 fleet.put("evacuate/dc-1", "{}");
                 fleet.remove("evacuate/dc-1");
             }
-            Self::Refuses => fleet.store.refuses.extend((0..hosts).filter(|host| host % 3 != 0)),
-            Self::Forgets => fleet.store.is_deaf = true,
-            Self::WatchersDie => {
+            Self::RefusedHosts => fleet.store.refused_hosts.extend((0..hosts).filter(|host| host % 3 != 0)),
+            Self::LostHistory => fleet.store.has_stalled_watches = true,
+            Self::KilledWatchers => {
                 let watchers: Vec<usize> = (0..hosts).filter(|&host| fleet.hosts[host].core.is_watcher()).collect();
                 watchers.into_iter().for_each(|host| fleet.restart(host, 800));
             }
-            Self::Storm => {
+            Self::ManyChanges => {
                 for leaf in 0..200 {
                     fleet.put(&format!("leaf/new-{leaf}"), &format!("n{leaf} dc-{} ready", leaf % 4));
                 }
@@ -85,93 +88,102 @@
     }
 }
 
-/// Whatever else happens, hosts stop sending work to the evacuated data centre in time, go on with the others,
-/// and use it again when operators take the word back.
+/// Guards against work for an evacuated data centre after the time limit under each disturbance, against an evacuation
+/// that affects other data centres, and against one that stays in force after it is revoked.
 #[rstest]
-fn an_evacuated_data_centre_gets_nothing_in_time(#[values(30, 100, 300)] hosts: usize, #[values(1, 2)] seed: u64) {
-    let mut lasts = Vec::new();
-    for meanwhile in Meanwhile::ALL {
-        let mut fleet = started(hosts, 4, seed);
-        fleet.run_until(WORD);
-        meanwhile.happen(&mut fleet);
+fn an_evacuated_data_centre_gets_no_work_after_the_time_limit(
+    #[values(30, 100, 300)] hosts: usize,
+    #[values(1, 2)] seed: u64,
+) {
+    let mut delays = Vec::new();
+    for disturbance in Disturbance::ALL {
+        let mut fleet = start_fleet(hosts, 4, seed);
+        fleet.run_until(EVACUATED_AT);
+        disturbance.apply(&mut fleet);
         fleet.put("evacuate/dc-1", "{}");
-        if meanwhile == Meanwhile::Forgets {
-            fleet.run_until(WORD + 400);
-            fleet.forget_history();
+        if disturbance == Disturbance::LostHistory {
+            fleet.run_until(EVACUATED_AT + 400);
+            fleet.compact_history();
         }
-        lasts.push(last_to_act(&mut fleet, 1));
-        fleet.run_until(WORD + LAST);
-        let others: &[usize] = if meanwhile == Meanwhile::Another { &[0, 2] } else { &[0, 2, 3] };
-        for &centre in others {
-            assert_eq!(using(&fleet, centre).len(), hosts, "{meanwhile:?}: dc-{centre} is not evacuated");
+        delays.push(time_to_act(&mut fleet, 1));
+        fleet.run_until(EVACUATED_AT + WORST_LIMIT);
+        let others: &[usize] = if disturbance == Disturbance::SecondEvacuation { &[0, 2] } else { &[0, 2, 3] };
+        for &data_centre in others {
+            assert_eq!(
+                hosts_using(&fleet, data_centre).len(),
+                hosts,
+                "{disturbance:?}: dc-{data_centre} is not evacuated"
+            );
         }
-        fleet.store.refuses.clear();
+        fleet.store.refused_hosts.clear();
         fleet.remove("evacuate/dc-1");
-        fleet.run_until(WORD + LAST + LAST + 2000);
-        assert_eq!(using(&fleet, 1).len(), hosts, "{meanwhile:?}: the data centre is not used again");
+        fleet.run_until(EVACUATED_AT + WORST_LIMIT + WORST_LIMIT + 2000);
+        assert_eq!(hosts_using(&fleet, 1).len(), hosts, "{disturbance:?}: the data centre is not used again");
     }
-    println!("the last host of {hosts} acts after {lasts:?} ms");
-    lasts.sort_unstable();
-    assert!(lasts[lasts.len() / 2] <= MEDIAN, "{lasts:?}");
+    println!("the last of {hosts} hosts acts after {delays:?} ms");
+    delays.sort_unstable();
+    assert!(delays[delays.len() / 2] <= MEDIAN_LIMIT, "{delays:?}");
 }
 
-/// A host starts while a data centre is evacuated, and another one was behind a cut when it was. The first has no
-/// list of servers without the evacuation; the second acts on it within seconds of the end of the cut.
+/// Guards against using an evacuated data centre on a host that starts during the evacuation, and for more than a few
+/// seconds on one that was partitioned when it was written. The starting host has no list of servers without the
+/// evacuation.
 #[rstest]
-fn hosts_that_start_or_were_cut_off_know_it(#[values(8, 67)] hosts: usize, #[values(1, 2, 3)] seed: u64) {
-    let mut fleet = started(hosts, 4, seed);
-    fleet.hosts[3].is_cut = true;
-    fleet.run_until(WORD);
+fn starting_and_partitioned_hosts_apply_an_evacuation(#[values(8, 67)] hosts: usize, #[values(1, 2, 3)] seed: u64) {
+    let mut fleet = start_fleet(hosts, 4, seed);
+    fleet.hosts[3].is_partitioned = true;
+    fleet.run_until(EVACUATED_AT);
     fleet.put("evacuate/dc-1", "{}");
     fleet.restart(5, 1500);
     for step in 0..60 {
-        fleet.run_until(WORD + 1500 + step * 50);
-        assert!(!fleet.may_use(5, LEAFS[1]), "a host that starts uses the data centre");
+        fleet.run_until(EVACUATED_AT + 1500 + step * 50);
+        assert!(!fleet.may_use(5, LEAFS[1]), "a starting host uses the data centre");
     }
-    fleet.hosts[3].is_cut = false;
+    fleet.hosts[3].is_partitioned = false;
     let healed = fleet.now;
-    fleet.run_until(healed + LAST);
-    assert!(!fleet.may_use(3, LEAFS[1]), "a host that was cut off uses the data centre");
+    fleet.run_until(healed + WORST_LIMIT);
+    assert!(!fleet.may_use(3, LEAFS[1]), "a partitioned host uses the data centre after the partition heals");
 }
 
-/// Operators misspell the data centre, or give none. The word harms nobody, and the rest of the list counts.
+/// Guards against an evacuation with an unknown or missing data centre that affects servers or hides the rest of the
+/// list.
 #[rstest]
 #[case::unknown("evacuate/nowhere")]
 #[case::no_name("evacuate/")]
-fn a_word_that_names_no_data_centre_harms_nobody(#[case] key: &str) {
-    let mut fleet = started(8, 4, 1);
+fn an_evacuation_of_an_unknown_data_centre_has_no_effect(#[case] key: &str) {
+    let mut fleet = start_fleet(8, 4, 1);
     fleet.put(key, "");
     fleet.put("leaf/3-0", "s3 dc-3 leaving");
-    fleet.run_until(WORD + LAST);
+    fleet.run_until(EVACUATED_AT + WORST_LIMIT);
     assert!((0..8).all(|host| fleet.may_use(host, "0-0") && !fleet.may_use(host, "3-0")));
 }
 
-/// Whoever reads a host's log finds when it acted on the word, and by which list of hosts.
+/// Guards against a log that lacks the start or end of an evacuation, or the number of servers.
 #[test]
-fn hosts_tell_what_is_evacuated() {
-    let mut fleet = started(8, 4, 1);
+fn an_evacuation_and_its_end_are_logged() {
+    let mut fleet = start_fleet(8, 4, 1);
     fleet.put("evacuate/dc-1", "{}");
-    fleet.run_until(WORD + LAST);
+    fleet.run_until(EVACUATED_AT + WORST_LIMIT);
     fleet.remove("evacuate/dc-1");
-    fleet.run_until(WORD + LAST + LAST);
+    fleet.run_until(EVACUATED_AT + WORST_LIMIT + WORST_LIMIT);
     for host in &fleet.hosts {
-        let mut told = Vec::new();
+        let mut logged = Vec::new();
         for note in &host.notes {
             if let note::Note::Evacuated { data_centres, servers, .. } = note {
-                told.push((data_centres.clone(), *servers));
+                logged.push((data_centres.clone(), *servers));
             }
         }
-        assert_eq!(told, [(vec!["dc-1".into()], 10), (Vec::new(), 0)]);
+        assert_eq!(logged, [(vec!["dc-1".into()], 10), (Vec::new(), 0)]);
     }
 }
 
-/// Without the guard the same runs show it.
+/// Checks that the assertions above detect hosts that ignore an evacuation.
 #[test]
-fn a_fleet_that_ignores_the_word_is_seen() {
+fn hosts_that_ignore_an_evacuation_are_detected() {
     mutant::set(Some(mutant::Mutant::IgnoreEvacuation));
-    let mut fleet = started(8, 4, 1);
+    let mut fleet = start_fleet(8, 4, 1);
     fleet.put("evacuate/dc-1", "{}");
-    fleet.run_until(WORD + LAST);
+    fleet.run_until(EVACUATED_AT + WORST_LIMIT);
     mutant::set(None);
-    assert_eq!(using(&fleet, 1).len(), 8);
+    assert_eq!(hosts_using(&fleet, 1).len(), 8);
 }
--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -1,9 +1,9 @@
-//! A fleet of control cores over a registry, in fake time: a store with revisions and a history, hosts
-//! that read it and talk to each other, and the ways in which both go away.
+//! A simulated fleet of control cores with a registry, in simulated time: a store with revisions and a history, hosts
+//! that read it and exchange messages, and failures of both.
 //!
-//! Entries are written in a format of this test: `config` holds `number shards`, and `leaf/NAME` holds
-//! `service data_centre state`, after which may stand `born=` and a number. `evacuate/DATA_CENTRE` evacuates it,
-//! whatever it holds.
+//! Entries have a format of this test: `config` holds `number shards`, and `leaf/NAME` holds `service data_centre
+//! state`, optionally followed by `born=` and a number. `evacuate/DATA_CENTRE` evacuates that data centre, whatever its
+//! value.
 
 use std::{cmp, collections::BinaryHeap, sync::Arc};
 
@@ -16,29 +16,29 @@
     plan, ratio, suspect, view,
 };
 
-/// How the hosts' documents are read.
+/// How the control cores parse the registry.
 pub const READER: control::Reader =
     control::Reader { source: control::Source::Registry { kind_of, essence }, manifest, part };
 
-/// What the keys of evacuations begin with; a data centre follows.
-const EVACUATE: &str = "evacuate/";
+/// Prefix of the keys of evacuations; the name of the data centre follows.
+const EVACUATION_PREFIX: &str = "evacuate/";
 
 fn kind_of(key: &str) -> Option<catalog::Kind> {
     match key {
         "config" => Some(catalog::Kind::Config),
-        _ => (key.starts_with("leaf/") || key.starts_with(EVACUATE)).then_some(catalog::Kind::Hosts),
+        _ => (key.starts_with("leaf/") || key.starts_with(EVACUATION_PREFIX)).then_some(catalog::Kind::Hosts),
     }
 }
 
-/// The first three words and the birth; another word changes without meaning anything.
+/// The first three words and the `born=` word; a change of any other word is not significant.
 fn essence(key: &str, text: Arc<str>) -> Arc<str> {
     if key == "config" {
         return text;
     }
-    if let Some(centre) = key.strip_prefix(EVACUATE) {
-        return Arc::from(centre);
+    if let Some(data_centre) = key.strip_prefix(EVACUATION_PREFIX) {
+        return Arc::from(data_centre);
     }
-    let words = text.split(' ').enumerate().filter(|(place, word)| *place < 3 || word.starts_with("born="));
+    let words = text.split(' ').enumerate().filter(|(index, word)| *index < 3 || word.starts_with("born="));
     let words: Vec<&str> = words.map(|(_, word)| word).collect();
     Arc::from(words.join(" "))
 }
@@ -55,8 +55,8 @@
         let shards: usize = word().parse().unwrap_or_default();
         return Ok(plan::Part::Routing(routing(number, shards)));
     }
-    if let Some(centre) = key.strip_prefix(EVACUATE).filter(|centre| !centre.is_empty()) {
-        return Ok(plan::Part::Evacuation(vec![centre.into()]));
+    if let Some(data_centre) = key.strip_prefix(EVACUATION_PREFIX).filter(|data_centre| !data_centre.is_empty()) {
+        return Ok(plan::Part::Evacuation(vec![data_centre.into()]));
     }
     if text.is_empty() {
         let problem = "the entry is empty".to_owned();
@@ -99,42 +99,43 @@
 }
 
 #[derive(Debug)]
-enum Happening {
-    Step { host: usize, life: u32 },
-    Input { host: usize, life: u32, input: control::Input },
+enum Event {
+    Step { host: usize, incarnation: u32 },
+    Input { host: usize, incarnation: u32, input: control::Input },
 }
 
-struct Waiting {
-    /// Nobody will answer it: it was sent during a cut, or lay with a registry that went mute.
+struct Watch {
+    /// Whether no answer will arrive: the call was sent during a partition, or was open when the registry became
+    /// unresponsive.
     is_lost: bool,
     host: usize,
-    life: u32,
+    incarnation: u32,
     ticket: u64,
     after: u64,
     until: u64,
 }
 
-/// The registry.
+/// A simulated registry.
 #[derive(Default)]
 pub struct Store {
     items: IndexMap<CompactString, (Arc<str>, u64)>,
-    log: Vec<mirror::Event>,
+    history: Vec<mirror::Event>,
     revision: u64,
-    /// Changes before this revision are forgotten.
-    forgotten: u64,
-    /// How many times it was restored.
+    /// The revision before which changes are discarded.
+    compacted_to: u64,
+    /// How many times the registry was restored from a backup.
     era: u64,
-    pub away: bool,
-    /// Hosts that it turns away.
-    pub refuses: IndexSet<usize>,
-    /// Watches that are open hear nothing any more.
-    pub is_deaf: bool,
-    /// Calls are taken and never answered, not even later.
-    is_mute: bool,
+    pub is_unavailable: bool,
+    /// Hosts whose requests are refused.
+    pub refused_hosts: IndexSet<usize>,
+    /// Whether open watches receive no changes.
+    pub has_stalled_watches: bool,
+    /// Whether calls are accepted but never answered, not even later.
+    is_unresponsive: bool,
     pub calls: u64,
-    /// Whole reads that were begun.
+    /// Full reads that were started.
     pub reads: u64,
-    /// Bytes of its answers, about.
+    /// Approximate bytes of the answers.
     pub bytes: u64,
 }
 
@@ -151,51 +152,51 @@
     revision: u64,
 }
 
-/// A host.
+/// A simulated host.
 pub struct Host {
     pub core: control::Core,
-    pub life: u32,
-    pub up: bool,
+    pub incarnation: u32,
+    pub is_up: bool,
     pub views: Vec<Arc<view::View>>,
     pub notes: Vec<note::Note>,
-    /// What it does with requests that may crash servers.
+    /// The latest standing of requests that may crash servers, as reported by the control core.
     pub suspects: Arc<IndexMap<suspect::Fingerprint, suspect::Standing>>,
-    /// Trials that were granted to it and that nobody has taken yet.
+    /// Trials granted to the host and not yet taken by the test.
     pub granted: Vec<suspect::Trial>,
     pub sent_bytes: u64,
-    /// Of these, what went to other data centres.
-    pub far_bytes: u64,
-    /// When it had its first view.
+    /// The part of `sent_bytes` that went to other data centres.
+    pub remote_bytes: u64,
+    /// Time of the first view since the start, in ms; `None` before it.
     pub ready_at: Option<u64>,
-    /// The host reaches neither the registry nor another host.
-    pub is_cut: bool,
+    /// Whether the host can reach neither the registry nor other hosts.
+    pub is_partitioned: bool,
 }
 
-/// Time after which a call of the registry is given up beyond its wait, as in the node.
-const PATIENCE: u64 = 1000;
-/// The same for a page of a whole read.
-const PAGE_PATIENCE: u64 = 2000;
-/// Time for which a connection on which bytes were held up by a cut stays stuck after it heals: the
-/// kernel sends them again ever less often.
-const STUCK: u64 = 6000;
+/// Timeout of a registry call beyond its wait, in ms, as in the node.
+const CALL_TIMEOUT: u64 = 1000;
+/// Timeout of a page of a full read, in ms.
+const PAGE_TIMEOUT: u64 = 2000;
+/// How long a connection stays stalled after a partition held up its bytes, in ms: the kernel retransmits at growing
+/// intervals, also after the partition heals.
+const STALL: u64 = 6000;
 
 pub struct Fleet {
     pub now: u64,
     pub store: Store,
     pub hosts: Vec<Host>,
-    centres: usize,
+    data_centres: usize,
     policy: control::Policy,
-    waiting: Vec<Waiting>,
+    watches: Vec<Watch>,
     heap: BinaryHeap<cmp::Reverse<(u64, u64)>>,
-    happenings: IndexMap<u64, Happening>,
+    events: IndexMap<u64, Event>,
     sequence: u64,
     random: rngs::SmallRng,
     /// Whether a document that a host refuses is ignored instead of failing the test.
     pub allows_refusals: bool,
-    /// Until when connections from one host to another are stuck.
-    stuck: IndexMap<(usize, usize), u64>,
-    /// Size of a message on the wire, which may be packed.
-    measure: fn(&message::Message, bool) -> usize,
+    /// Time until which the connections from one host to another are stalled, in ms.
+    stalled: IndexMap<(usize, usize), u64>,
+    /// Size of a message on the wire, in bytes; the flag states whether it may be packed.
+    message_size: fn(&message::Message, bool) -> usize,
 }
 
 fn revision(event: &mirror::Event) -> u64 {
@@ -205,18 +206,18 @@
     }
 }
 
-/// Bytes of an item in an answer of the registry: the value in base 64, and what stands around it.
-fn bytes_of(item: &mirror::Item) -> u64 {
+/// Approximate bytes of an item in an answer of the registry: the base64 value, the key and their framing.
+fn item_bytes(item: &mirror::Item) -> u64 {
     (item.text.len() * 4 / 3 + item.key.len() + 90) as u64
 }
 
-/// The address of a host.
+/// The peer address of a host.
 pub fn peer(host: usize) -> CompactString {
     format_compact!("10.0.{}.{}:7000", host / 250, host % 250)
 }
 
-/// The host at an address of [`peer`].
-fn host_of(address: &str) -> Option<usize> {
+/// The host with the peer address `address`; the inverse of [`peer`].
+fn host_at(address: &str) -> Option<usize> {
     let (ip, _) = address.split_once(':')?;
     let mut octets = ip.split('.').skip(2);
     let (high, low): (usize, usize) = (octets.next()?.parse().ok()?, octets.next()?.parse().ok()?);
@@ -224,52 +225,52 @@
 }
 
 impl Fleet {
-    /// `hosts` hosts over `centres` data centres, started at once.
-    pub fn new(hosts: usize, centres: usize, policy: &control::Policy, seed: u64) -> Self {
+    /// `hosts` hosts over `data_centres` data centres, all started within 300 ms.
+    pub fn new(hosts: usize, data_centres: usize, policy: &control::Policy, seed: u64) -> Self {
         let mut fleet = Self {
             now: 1,
             store: Store::default(),
             hosts: Vec::new(),
-            centres,
+            data_centres,
             policy: policy.clone(),
-            waiting: Vec::new(),
+            watches: Vec::new(),
             heap: BinaryHeap::new(),
-            happenings: IndexMap::new(),
+            events: IndexMap::new(),
             sequence: 0,
             random: rngs::SmallRng::seed_from_u64(seed),
             allows_refusals: false,
-            stuck: IndexMap::new(),
-            measure: |_, _| 0,
+            stalled: IndexMap::new(),
+            message_size: |_, _| 0,
         };
         for host in 0..hosts {
-            let core = fleet.core(host);
+            let core = fleet.new_core(host);
             fleet.hosts.push(Host {
                 core,
-                life: 0,
-                up: true,
+                incarnation: 0,
+                is_up: true,
                 views: Vec::new(),
                 notes: Vec::new(),
                 suspects: Arc::default(),
                 granted: Vec::new(),
                 sent_bytes: 0,
-                far_bytes: 0,
+                remote_bytes: 0,
                 ready_at: None,
-                is_cut: false,
+                is_partitioned: false,
             });
-            fleet.at(1 + host as u64 % 300, Happening::Step { host, life: 0 });
+            fleet.schedule(1 + host as u64 % 300, Event::Step { host, incarnation: 0 });
         }
         fleet
     }
 
-    pub fn measured(mut self, measure: fn(&message::Message, bool) -> usize) -> Self {
-        self.measure = measure;
+    pub fn with_message_size(mut self, message_size: fn(&message::Message, bool) -> usize) -> Self {
+        self.message_size = message_size;
         self
     }
 
-    fn core(&mut self, host: usize) -> control::Core {
+    fn new_core(&mut self, host: usize) -> control::Core {
         let identity = control::Identity {
             name: format_compact!("host-{host}"),
-            data_centre: format_compact!("dc-{}", host % self.centres),
+            data_centre: format_compact!("dc-{}", host % self.data_centres),
             peer: peer(host),
             seeds: (0..3).map(peer).collect(),
             relay: format_compact!("10.0.{}.{}:7391", host / 250, host % 250),
@@ -279,9 +280,9 @@
         control::Core::new(self.policy.clone(), identity, READER, self.random.random(), clock::Millis(self.now))
     }
 
-    fn at(&mut self, at: u64, happening: Happening) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.sequence += 1;
-        self.happenings.insert(self.sequence, happening);
+        self.events.insert(self.sequence, event);
         self.heap.push(cmp::Reverse((at.max(self.now), self.sequence)));
     }
 
@@ -291,8 +292,8 @@
         let revision = self.store.revision;
         let item = mirror::Item { key: key.into(), text: text.into(), revision };
         self.store.items.insert(key.into(), (Arc::clone(&item.text), revision));
-        self.store.log.push(mirror::Event::Put(item));
-        self.end_watches();
+        self.store.history.push(mirror::Event::Put(item));
+        self.answer_watches();
     }
 
     /// Removes an item.
@@ -300,15 +301,15 @@
         self.store.revision += 1;
         let revision = self.store.revision;
         self.store.items.swap_remove(key);
-        self.store.log.push(mirror::Event::Delete { key: key.into(), revision });
-        self.end_watches();
+        self.store.history.push(mirror::Event::Delete { key: key.into(), revision });
+        self.answer_watches();
     }
 
-    /// Drops the history; watches that wait are cut.
-    pub fn forget_history(&mut self) {
-        self.store.forgotten = self.store.revision;
-        self.store.is_deaf = false;
-        self.cut_watches();
+    /// Discards the history and fails open watches.
+    pub fn compact_history(&mut self) {
+        self.store.compacted_to = self.store.revision;
+        self.store.has_stalled_watches = false;
+        self.fail_watches();
     }
 
     /// Takes a backup of the registry.
@@ -316,82 +317,81 @@
         Backup { items: self.store.items.clone(), revision: self.store.revision }
     }
 
-    /// Restores the registry from `backup`: later writes are lost, their revisions are reused, and waiting watches are
-    /// cut.
+    /// Restores the registry from `backup`: later writes are lost, their revisions are reused, and open watches fail.
     pub fn restore(&mut self, backup: &Backup) {
         self.store.items = backup.items.clone();
         self.store.revision = backup.revision;
-        self.store.forgotten = self.store.forgotten.min(backup.revision);
-        self.store.log.retain(|event| revision(event) <= backup.revision);
+        self.store.compacted_to = self.store.compacted_to.min(backup.revision);
+        self.store.history.retain(|event| revision(event) <= backup.revision);
         self.store.era += 1;
-        self.cut_watches();
+        self.fail_watches();
     }
 
-    /// Fails all waiting watches.
-    pub fn cut_watches(&mut self) {
-        for waiting in std::mem::take(&mut self.waiting) {
+    /// Fails all open watches.
+    pub fn fail_watches(&mut self) {
+        for watch in std::mem::take(&mut self.watches) {
             let changes = mirror::Changes::Failed;
-            let input = control::Input::Changes { ticket: waiting.ticket, changes };
-            self.at(self.now + 4, Happening::Input { host: waiting.host, life: waiting.life, input });
+            let input = control::Input::Changes { ticket: watch.ticket, changes };
+            self.schedule(self.now + 4, Event::Input { host: watch.host, incarnation: watch.incarnation, input });
         }
     }
 
-    /// From now on the registry takes calls and answers none of them, also none that wait; or it is as before.
-    pub fn set_mute(&mut self, is_mute: bool) {
-        self.store.is_mute = is_mute;
-        for waiting in self.waiting.iter_mut().filter(|_| is_mute) {
-            waiting.is_lost = true;
-            waiting.until += PATIENCE;
+    /// Sets whether the registry leaves calls unanswered. Watches that are open when this is set are never answered.
+    pub fn set_unresponsive(&mut self, is_unresponsive: bool) {
+        self.store.is_unresponsive = is_unresponsive;
+        for watch in self.watches.iter_mut().filter(|_| is_unresponsive) {
+            watch.is_lost = true;
+            watch.until += CALL_TIMEOUT;
         }
     }
 
-    /// Makes `shards` services with `replicas` leafs each, dealt over the data centres, and a config.
+    /// Writes `shards` services with `replicas` leafs each, spread over the data centres, and a configuration.
     pub fn publish(&mut self, number: u64, shards: usize, replicas: usize) {
         for shard in 0..shards {
             for replica in 0..replicas {
-                let centre = (shard + replica) % self.centres;
-                self.put(&format!("leaf/{shard}-{replica}"), &format!("s{shard} dc-{centre} ready"));
+                let data_centre = (shard + replica) % self.data_centres;
+                self.put(&format!("leaf/{shard}-{replica}"), &format!("s{shard} dc-{data_centre} ready"));
             }
         }
         self.put("config", &format!("{number} {shards}"));
     }
 
-    /// Ends a host's process and starts it anew after `down` ms.
-    pub fn restart(&mut self, host: usize, down: u64) {
-        let core = self.core(host);
-        let row = &mut self.hosts[host];
-        row.life += 1;
-        row.up = false;
-        row.ready_at = None;
-        row.core = core;
-        row.views.clear();
-        row.suspects = Arc::default();
-        row.granted.clear();
-        let life = row.life;
-        self.waiting.retain(|waiting| waiting.host != host);
-        // Its connections end with it.
-        self.stuck.retain(|(from, _), _| *from != host);
-        self.at(self.now + down, Happening::Step { host, life });
+    /// Kills the process of a host and starts it again after `downtime` ms.
+    pub fn restart(&mut self, host: usize, downtime: u64) {
+        let core = self.new_core(host);
+        let state = &mut self.hosts[host];
+        state.incarnation += 1;
+        state.is_up = false;
+        state.ready_at = None;
+        state.core = core;
+        state.views.clear();
+        state.suspects = Arc::default();
+        state.granted.clear();
+        let incarnation = state.incarnation;
+        self.watches.retain(|watch| watch.host != host);
+        // Its connections are closed with the process.
+        self.stalled.retain(|(from, _), _| *from != host);
+        self.schedule(self.now + downtime, Event::Step { host, incarnation });
     }
 
     /// All hosts in a random order.
-    pub fn draw(&mut self, hosts: usize) -> Vec<usize> {
+    pub fn shuffled_hosts(&mut self, hosts: usize) -> Vec<usize> {
         let mut order: Vec<usize> = (0..hosts).collect();
         order.shuffle(&mut self.random);
         order
     }
 
-    /// Tells a host's control core something.
-    pub fn tell(&mut self, host: usize, input: control::Input) {
+    /// Passes an input to the control core of a host.
+    pub fn deliver(&mut self, host: usize, input: control::Input) {
         self.step(host, input);
     }
 
-    /// Asks a host's process to stop.
+    /// Notifies a host that its process is shutting down.
     pub fn leave(&mut self, host: usize) {
         self.step(host, control::Input::Leaving);
     }
 
-    /// Lets time pass until `until`.
+    /// Advances the simulated time to `until`.
     pub fn run_until(&mut self, until: u64) {
         while let Some(&cmp::Reverse((at, key))) = self.heap.peek() {
             if at > until {
@@ -399,76 +399,76 @@
             }
             self.heap.pop();
             self.now = at;
-            match self.happenings.swap_remove(&key) {
-                Some(Happening::Step { host, life }) if self.hosts[host].life == life => {
-                    self.hosts[host].up = true;
+            match self.events.swap_remove(&key) {
+                Some(Event::Step { host, incarnation }) if self.hosts[host].incarnation == incarnation => {
+                    self.hosts[host].is_up = true;
                     self.step(host, control::Input::Tick);
                     let next = self.hosts[host].core.next_timer().0.clamp(self.now + 1, self.now + 250);
-                    self.at(next, Happening::Step { host, life });
+                    self.schedule(next, Event::Step { host, incarnation });
                 }
-                Some(Happening::Input { host, life, input }) if self.hosts[host].life == life => {
+                Some(Event::Input { host, incarnation, input }) if self.hosts[host].incarnation == incarnation => {
                     self.step(host, input);
                 }
                 _ => {}
             }
-            self.end_long_watches();
+            self.expire_watches();
         }
         self.now = until;
     }
 
     fn step(&mut self, host: usize, input: control::Input) {
-        if !self.hosts[host].up {
+        if !self.hosts[host].is_up {
             return;
         }
         for output in self.hosts[host].core.step(clock::Millis(self.now), [input]) {
-            self.carry_out(host, output);
+            self.apply_output(host, output);
         }
     }
 
-    fn carry_out(&mut self, host: usize, output: control::Output) {
-        let life = self.hosts[host].life;
+    fn apply_output(&mut self, host: usize, output: control::Output) {
+        let incarnation = self.hosts[host].incarnation;
         match output {
             control::Output::List { after } => {
                 self.store.calls += 1;
                 self.store.reads += u64::from(after.is_none());
                 let page = self.page(host, after.as_deref());
-                self.store.bytes += page.iter().flat_map(|page| &page.items).map(bytes_of).sum::<u64>();
+                self.store.bytes += page.iter().flat_map(|page| &page.items).map(item_bytes).sum::<u64>();
                 let input = control::Input::Page(page);
-                let took = if self.store.is_mute { PAGE_PATIENCE } else { 4 };
-                self.at(self.now + took, Happening::Input { host, life, input });
+                let took = if self.store.is_unresponsive { PAGE_TIMEOUT } else { 4 };
+                self.schedule(self.now + took, Event::Input { host, incarnation, input });
             }
-            control::Output::Follow { ticket, after, wait, timeout: patience } => {
+            control::Output::Follow { ticket, after, wait, timeout: call_timeout } => {
                 self.store.calls += 1;
-                self.waiting.retain(|waiting| waiting.host != host);
-                let is_lost = self.hosts[host].is_cut || self.store.is_mute;
-                let until = self.now + wait.0 + if is_lost { patience.0 } else { 0 };
-                self.waiting.push(Waiting { is_lost, host, life, ticket, after, until });
-                self.end_watches();
+                self.watches.retain(|watch| watch.host != host);
+                let is_lost = self.hosts[host].is_partitioned || self.store.is_unresponsive;
+                let until = self.now + wait.0 + if is_lost { call_timeout.0 } else { 0 };
+                self.watches.push(Watch { is_lost, host, incarnation, ticket, after, until });
+                self.answer_watches();
             }
             control::Output::Send { to, packs, message } => self.send(host, &to, packs, message),
             control::Output::Reconnect { to } => {
-                self.stuck.retain(|(from, other), _| *from != host || peer(*other) != to);
+                self.stalled.retain(|(from, other), _| *from != host || peer(*other) != to);
             }
             control::Output::View(view) => {
                 self.hosts[host].ready_at.get_or_insert(self.now);
                 self.hosts[host].views.push(view);
             }
             control::Output::Refused { .. } if self.allows_refusals => {}
-            control::Output::Refused { faults, .. } => panic!("refused: {faults:?}"),
-            control::Output::Breach(breach) => panic!("{breach:?}"),
+            control::Output::Refused { faults, .. } => panic!("configuration refused: {faults:?}"),
+            control::Output::Breach(breach) => panic!("invariant violated: {breach:?}"),
             control::Output::Note(note) => self.hosts[host].notes.push(note),
             control::Output::Suspects(suspects) => self.hosts[host].suspects = suspects,
             control::Output::TrialGranted(trial) => self.hosts[host].granted.push(trial),
             control::Output::Revalidated => {}
-            other => panic!("a registry has no {other:?}"),
+            other => panic!("unexpected output with a registry: {other:?}"),
         }
     }
 
     fn page(&self, host: usize, after: Option<&str>) -> Option<mirror::Page> {
-        if self.hosts[host].is_cut {
+        if self.hosts[host].is_partitioned {
             return None;
         }
-        if self.store.away || self.store.is_mute || self.store.refuses.contains(&host) {
+        if self.store.is_unavailable || self.store.is_unresponsive || self.store.refused_hosts.contains(&host) {
             return None;
         }
         let mut keys: Vec<&CompactString> = self.store.items.keys().collect();
@@ -482,81 +482,82 @@
         Some(mirror::Page { items, has_more: rest.len() > 50, at: self.store.revision, era: self.store.era })
     }
 
-    /// Answers the watches that have news, or cannot have any.
-    fn end_watches(&mut self) {
+    /// Answers the watches that have changes or are refused.
+    fn answer_watches(&mut self) {
         let mut index = 0;
-        while index < self.waiting.len() {
-            let waiting = &self.waiting[index];
-            let is_refused = self.store.away || self.store.refuses.contains(&waiting.host);
-            let is_heard = !waiting.is_lost && !self.hosts[waiting.host].is_cut;
-            let has_news = waiting.after != self.store.revision && !self.store.is_deaf;
-            let (is_refused, has_news) = (is_refused && is_heard, has_news && is_heard);
-            if !is_refused && !has_news {
+        while index < self.watches.len() {
+            let watch = &self.watches[index];
+            let is_refused = self.store.is_unavailable || self.store.refused_hosts.contains(&watch.host);
+            let is_reachable = !watch.is_lost && !self.hosts[watch.host].is_partitioned;
+            let has_changes = watch.after != self.store.revision && !self.store.has_stalled_watches;
+            let (is_refused, has_changes) = (is_refused && is_reachable, has_changes && is_reachable);
+            if !is_refused && !has_changes {
                 index += 1;
                 continue;
             }
-            let waiting = self.waiting.swap_remove(index);
-            let changes = if is_refused { mirror::Changes::Failed } else { self.changes(waiting.after) };
-            let input = control::Input::Changes { ticket: waiting.ticket, changes };
-            self.at(self.now + 4, Happening::Input { host: waiting.host, life: waiting.life, input });
+            let watch = self.watches.swap_remove(index);
+            let changes = if is_refused { mirror::Changes::Failed } else { self.changes(watch.after) };
+            let input = control::Input::Changes { ticket: watch.ticket, changes };
+            self.schedule(self.now + 4, Event::Input { host: watch.host, incarnation: watch.incarnation, input });
         }
     }
 
-    fn end_long_watches(&mut self) {
+    fn expire_watches(&mut self) {
         let mut index = 0;
-        while index < self.waiting.len() {
-            if self.waiting[index].until > self.now {
+        while index < self.watches.len() {
+            if self.watches[index].until > self.now {
                 index += 1;
                 continue;
             }
-            let waiting = self.waiting.swap_remove(index);
-            let is_heard = !waiting.is_lost && !self.hosts[waiting.host].is_cut;
-            let changes = if is_heard { self.changes(waiting.after) } else { mirror::Changes::Failed };
-            let input = control::Input::Changes { ticket: waiting.ticket, changes };
-            self.at(self.now + 4, Happening::Input { host: waiting.host, life: waiting.life, input });
+            let watch = self.watches.swap_remove(index);
+            let is_reachable = !watch.is_lost && !self.hosts[watch.host].is_partitioned;
+            let changes = if is_reachable { self.changes(watch.after) } else { mirror::Changes::Failed };
+            let input = control::Input::Changes { ticket: watch.ticket, changes };
+            self.schedule(self.now + 4, Event::Input { host: watch.host, incarnation: watch.incarnation, input });
         }
     }
 
     fn changes(&self, after: u64) -> mirror::Changes {
-        if after < self.store.forgotten || after > self.store.revision {
+        if after < self.store.compacted_to || after > self.store.revision {
             return mirror::Changes::Compacted;
         }
-        let events = self.store.log.iter().filter(|event| revision(event) > after).cloned().collect();
+        let events = self.store.history.iter().filter(|event| revision(event) > after).cloned().collect();
         mirror::Changes::Delta { events, at: self.store.revision, era: self.store.era }
     }
 
     fn send(&mut self, from: usize, to: &str, packs: bool, message: message::Message) {
-        let bytes = (self.measure)(&message, packs) as u64;
+        let bytes = (self.message_size)(&message, packs) as u64;
         self.hosts[from].sent_bytes += bytes;
-        let Some(host) = host_of(to).filter(|&host| host < self.hosts.len()) else {
+        let Some(host) = host_at(to).filter(|&host| host < self.hosts.len()) else {
             return;
         };
-        let is_far = host % self.centres != from % self.centres;
-        self.hosts[from].far_bytes += if is_far { bytes } else { 0 };
-        if self.hosts[from].is_cut || self.hosts[host].is_cut {
-            self.stuck.insert((from, host), self.now + STUCK);
+        let crosses_data_centres = host % self.data_centres != from % self.data_centres;
+        self.hosts[from].remote_bytes += if crosses_data_centres { bytes } else { 0 };
+        if self.hosts[from].is_partitioned || self.hosts[host].is_partitioned {
+            self.stalled.insert((from, host), self.now + STALL);
             return;
         }
-        if self.stuck.get(&(from, host)).is_some_and(|&until| until > self.now) {
+        if self.stalled.get(&(from, host)).is_some_and(|&until| until > self.now) {
             return;
         }
-        let life = self.hosts[host].life;
+        let incarnation = self.hosts[host].incarnation;
         let after = self.random.random_range(1..4);
-        self.at(self.now + after, Happening::Input { host, life, input: control::Input::Peer(message) });
+        self.schedule(self.now + after, Event::Input { host, incarnation, input: control::Input::Peer(message) });
     }
 
-    /// The newest view of a host.
+    /// The latest view of a host.
     pub fn view(&self, host: usize) -> Option<&view::View> {
         self.hosts[host].views.last().map(|view| &**view)
     }
 
     /// Whether a host may send new work to a leaf.
     pub fn may_use(&self, host: usize, leaf: &str) -> bool {
-        self.view(host).is_some_and(|view| view.servers.iter().flatten().any(|row| row.name == leaf && row.is_open()))
+        self.view(host)
+            .is_some_and(|view| view.servers.iter().flatten().any(|server| server.name == leaf && server.is_open()))
     }
 
-    /// Hosts whose view has the configuration `number`.
-    pub fn have(&self, number: u64) -> usize {
+    /// The number of hosts whose view has the configuration `number`.
+    pub fn hosts_with_config(&self, number: u64) -> usize {
         (0..self.hosts.len()).filter(|&host| self.view(host).is_some_and(|view| view.number == number)).count()
     }
 }
