--- a/crates/wire/tests/peer.rs
+++ b/crates/wire/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between hosts: what is written is read again, and garbage is an error, never a panic.
+//! Messages between hosts: decoding reverses encoding, and malformed input is an error, never a panic.
 
 use proptest::prelude::*;
 use shallothub_core::{catalog, clock, control::message, suspect, view};
@@ -32,7 +32,7 @@
         });
     let ask = proptest::collection::vec(any::<u64>(), 0..20).prop_map(|have| {
         let have = have.into_iter().map(catalog::Digest).collect();
-        message::Body::Ask(message::Ask { kind: catalog::Kind::Hosts, have, base: None })
+        message::Body::Ask(message::Request { kind: catalog::Kind::Hosts, have, base: None })
     });
     let update = (any::<u64>(), proptest::option::of(stamp()), ".{0,40}").prop_map(|(version, base, text)| {
         let part = message::Part { key: "k".into(), digest: catalog::Digest::of(&text), text: Some(text.into()) };
@@ -55,7 +55,7 @@
             let (fingerprint, server) = (trial.fingerprint, server.into());
             table.record_crash(clock::Millis(1), &suspect::Crash { fingerprint, attempt, server });
         }
-        let trial = Box::new(message::Trial { trial, row: table.record(clock::Millis(2), trial.fingerprint) });
+        let trial = Box::new(message::Trial { trial, record: table.record(clock::Millis(2), trial.fingerprint) });
         if is_granted { message::Body::GrantTrial(trial) } else { message::Body::AskTrial(trial) }
     });
     prop_oneof![digest, ask, update, trial]
@@ -85,8 +85,8 @@
     mood: &'static str,
 }
 
-/// A host that was restarted with a newer program says more than an older one knows. During the
-/// rolling restart the older one takes what it understands and leaves the rest.
+/// During a rolling restart, a node of a newer version may send fields that older ones do not know. Older nodes
+/// must ignore these and decode the rest.
 #[test]
 fn a_field_of_a_newer_program_is_passed_over() {
     let body = message::Body::Digest(Box::default());
