--- a/crates/core/src/control/event.rs
+++ b/crates/core/src/control/event.rs
@@ -35,7 +35,7 @@
     },
     /// The response to [`Output::List`]; `None` if the call failed.
     Page(Option<mirror::Page>),
-    /// The result of [`Output::Follow`].
+    /// The result of [`Output::WatchRegistry`].
     Changes {
         /// The ticket of the call.
         ticket: u64,
@@ -87,7 +87,7 @@
         after: Option<CompactString>,
     },
     /// Request changes from the registry. A previous call of this kind that is still in flight is cancelled.
-    Follow {
+    WatchRegistry {
         /// Identifies the call; returned with [`Input::Changes`].
         ticket: u64,
         /// The revision up to which this host has all changes.
@@ -104,7 +104,7 @@
         /// Peer address of the host, `IP:PORT`.
         to: CompactString,
         /// Whether the host is known to accept compressed messages.
-        packs: bool,
+        compress: bool,
         /// The message, uncompressed.
         message: message::Message,
     },
--- a/crates/core/src/control/gossip.rs
+++ b/crates/core/src/control/gossip.rs
@@ -41,8 +41,8 @@
     pub(super) fn send(&mut self, to: CompactString, body: message::Body) {
         let from = self.identity.peer.clone();
         let message = message::Message { protocol: message::PROTOCOL, from, body };
-        let packs = self.members.packs(&to);
-        self.outputs.push(Output::Send { to, packs, message });
+        let compress = self.members.packs(&to);
+        self.outputs.push(Output::Send { to, compress, message });
     }
 
     fn digest(
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -260,7 +260,7 @@
                 | Output::Watch { .. }
                 | Output::ReadPart { .. }
                 | Output::List { .. }
-                | Output::Follow { .. } => self.stats.platform_calls += 1,
+                | Output::WatchRegistry { .. } => self.stats.platform_calls += 1,
                 Output::Send { .. } => self.stats.sent += 1,
                 _ => {}
             }
--- a/crates/core/src/control/registry.rs
+++ b/crates/core/src/control/registry.rs
@@ -167,7 +167,7 @@
         registry.sent_at = self.now;
         registry.call = Call::Changes { ticket: registry.last_ticket, is_revalidation };
         let (ticket, after) = (registry.last_ticket, registry.mirror.at().number);
-        self.outputs.push(Output::Follow { ticket, after, wait, timeout: RESPONSE_TIMEOUT });
+        self.outputs.push(Output::WatchRegistry { ticket, after, wait, timeout: RESPONSE_TIMEOUT });
     }
 
     /// Replaces the call in flight, which may be lost after a pause, by one that does not wait for changes.
--- a/crates/core/src/traffic/event.rs
+++ b/crates/core/src/traffic/event.rs
@@ -183,7 +183,7 @@
         /// The server whose connections are limited.
         server: id::Server,
         /// Maximum number of connections, idle and in use.
-        keep: u32,
+        limit: u32,
     },
     /// Request confirmation from the control core that the view is still current.
     Revalidate,
--- a/crates/core/src/traffic/mod.rs
+++ b/crates/core/src/traffic/mod.rs
@@ -295,7 +295,7 @@
         let Some(published) = self.view.server(id) else {
             state.share = 0;
             state.warm_up = warm_up::WarmUp::default();
-            self.outputs.push(Output::Trim { server: id, keep: 0 });
+            self.outputs.push(Output::Trim { server: id, limit: 0 });
             self.requeue(id);
             return false;
         };
@@ -307,10 +307,10 @@
         if has_restarted {
             state.restart(published.incarnation);
             // Connections to the previous incarnation are dead.
-            self.outputs.push(Output::Trim { server: id, keep: 0 });
+            self.outputs.push(Output::Trim { server: id, limit: 0 });
         }
         if is_changed || has_restarted {
-            self.outputs.push(Output::Trim { server: id, keep: share });
+            self.outputs.push(Output::Trim { server: id, limit: share });
         }
         let is_reopened = state.set_evacuated(published.evacuated);
         state.warm_up.update(self.now, published.warm_up.as_ref(), is_reopened);
--- a/crates/core/tests/driver/simulation.rs
+++ b/crates/core/tests/driver/simulation.rs
@@ -463,7 +463,7 @@
                 self.oracle.breach("accepted", format!("host {host} refused {stamp}"));
             }
             control::Output::Note(_) | control::Output::Reconnect { .. } => {}
-            control::Output::List { .. } | control::Output::Follow { .. } => {
+            control::Output::List { .. } | control::Output::WatchRegistry { .. } => {
                 self.oracle.breach("source", "documents are not listed".to_owned());
             }
             control::Output::Breach(breach) => {
--- a/crates/core/tests/mesh/mod.rs
+++ b/crates/core/tests/mesh/mod.rs
@@ -200,7 +200,7 @@
             | control::Output::TrialGranted(_)
             | control::Output::Note(_)
             | control::Output::Reconnect { .. } => {}
-            control::Output::List { .. } | control::Output::Follow { .. } => panic!("documents are not listed"),
+            control::Output::List { .. } | control::Output::WatchRegistry { .. } => panic!("documents are not listed"),
         }
     }
 
--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -437,7 +437,7 @@
                 let took = if self.store.is_mute { PAGE_PATIENCE } else { 4 };
                 self.at(self.now + took, Happening::Input { host, life, input });
             }
-            control::Output::Follow { ticket, after, wait, timeout: patience } => {
+            control::Output::WatchRegistry { ticket, after, wait, timeout: patience } => {
                 self.store.calls += 1;
                 self.waiting.retain(|waiting| waiting.host != host);
                 let is_lost = self.hosts[host].is_cut || self.store.is_mute;
@@ -445,7 +445,7 @@
                 self.waiting.push(Waiting { is_lost, host, life, ticket, after, until });
                 self.end_watches();
             }
-            control::Output::Send { to, packs, message } => self.send(host, &to, packs, message),
+            control::Output::Send { to, compress, message } => self.send(host, &to, compress, message),
             control::Output::Reconnect { to } => {
                 self.stuck.retain(|(from, other), _| *from != host || peer(*other) != to);
             }
--- a/crates/core/tests/restarted.rs
+++ b/crates/core/tests/restarted.rs
@@ -138,7 +138,7 @@
     let kept: Vec<u32> = outputs
         .iter()
         .filter_map(|output| match output {
-            event::Output::Trim { keep, .. } => Some(*keep),
+            event::Output::Trim { limit, .. } => Some(*limit),
             _ => None,
         })
         .collect();
--- a/crates/ctl/src/documents.rs
+++ b/crates/ctl/src/documents.rs
@@ -93,7 +93,7 @@
         document: CompactString::from(name),
         position: plan::Position { line: 1, column: 1 },
         problem: "the manifest does not match the documents beside it".to_owned(),
-        remedy: "write it again with `shallotctl manifest` and a higher version".to_owned(),
+        remedy: "generate it again with `shallotctl manifest` and a higher version".to_owned(),
     }])
 }
 
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -52,8 +52,8 @@
     senders: peer::Senders,
     refused: Vec<CompactString>,
     /// The connection for requests for changes, and the task of the request in flight.
-    follow_client: Rc<RefCell<platform::Client>>,
-    follow_task: Option<task::AbortHandle>,
+    registry_watch_client: Rc<RefCell<platform::Client>>,
+    registry_watch_task: Option<task::AbortHandle>,
     published_at: clock::Millis,
 }
 
@@ -69,16 +69,16 @@
             power: (settings.processor * 1000.0) as u32,
             regions: settings.regions.clone(),
         };
-        let seed = catalog::Digest::of(&settings.name).0 ^ shared.origin.incarnation();
-        let now = shared.origin.now();
+        let seed = catalog::Digest::of(&settings.name).0 ^ shared.clock.incarnation();
+        let now = shared.clock.now();
         let core = control::Core::new(settings.control.clone(), identity, shared.interface.reader, seed, now);
         Self {
             shared,
             core,
             senders: peer::Senders::default(),
             refused: Vec::new(),
-            follow_client: Rc::default(),
-            follow_task: None,
+            registry_watch_client: Rc::default(),
+            registry_watch_task: None,
             published_at: clock::Millis::ZERO,
         }
     }
@@ -86,7 +86,7 @@
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<shared::ToControl>) {
         loop {
             let mut inputs = Vec::new();
-            let now = self.shared.origin.now();
+            let now = self.shared.clock.now();
             let wait = match self.shared.interface.registry {
                 Some(_) => self.core.next_timer().since(now).clamp(clock::Millis(1), PUBLISH_INTERVAL),
                 None => TICK,
@@ -101,12 +101,12 @@
                 }
                 () = sleep(time::duration(wait)) => inputs.push(control::Input::Tick),
             }
-            let now = self.shared.origin.now();
+            let now = self.shared.clock.now();
             let outputs = self.core.step(now, inputs);
             let is_status_changed = outputs
                 .iter()
                 .any(|output| matches!(output, control::Output::View(_) | control::Output::Refused { .. }));
-            // Publish before the lanes receive the view, so that the status is current once a client finds the node ready.
+            // Publish before the lanes get the view, so that the status is current once a client finds the node ready.
             if is_status_changed || now.since(self.published_at) >= PUBLISH_INTERVAL {
                 self.published_at = now;
                 self.publish_status();
@@ -146,10 +146,12 @@
             control::Output::ReadPart { kind, key } => self.read_part(kind, key),
             control::Output::Reconnect { to } => self.senders.close(&to),
             control::Output::List { after } => self.list(after),
-            control::Output::Follow { ticket, after, wait, timeout } => self.follow(ticket, after, wait, timeout),
+            control::Output::WatchRegistry { ticket, after, wait, timeout } => {
+                self.watch_registry(ticket, after, wait, timeout)
+            }
             control::Output::Note(note) => log_note(&note),
-            control::Output::Send { to, packs, message } => {
-                let bytes = self.senders.send(&to, &message, packs);
+            control::Output::Send { to, compress, message } => {
+                let bytes = self.senders.send(&to, &message, compress);
                 self.shared.metrics.peer_bytes.with_label_values(&["sent"]).inc_by(bytes as u64);
             }
             control::Output::View(view) => {
@@ -267,19 +269,19 @@
         });
     }
 
-    fn follow(&mut self, ticket: u64, after: u64, wait: clock::Millis, timeout: clock::Millis) {
+    fn watch_registry(&mut self, ticket: u64, after: u64, wait: clock::Millis, timeout: clock::Millis) {
         let Some(registry) = self.shared.interface.registry else {
             return;
         };
-        if let Some(follow_task) = self.follow_task.take() {
-            follow_task.abort();
+        if let Some(registry_watch_task) = self.registry_watch_task.take() {
+            registry_watch_task.abort();
         }
         let path = registry.watch_path(after, wait);
         let address = self.shared.settings.platform;
         let sender = self.shared.control.clone();
-        let follow_client = Rc::clone(&self.follow_client);
+        let registry_watch_client = Rc::clone(&self.registry_watch_client);
         let task = task::spawn_local(async move {
-            let mut client = follow_client.take();
+            let mut client = registry_watch_client.take();
             let response = client.get(address, &path, time::duration(wait + timeout), MAX_RESPONSE_BYTES).await;
             let changes = match response {
                 Ok(response) => parse_changes(registry, &response),
@@ -288,10 +290,10 @@
                     mirror::Changes::Failed
                 }
             };
-            follow_client.replace(client);
+            registry_watch_client.replace(client);
             sender.send(shared::ToControl::Input(control::Input::Changes { ticket, changes })).ok();
         });
-        self.follow_task = Some(task.abort_handle());
+        self.registry_watch_task = Some(task.abort_handle());
     }
 
     fn publish_status(&self) {
--- a/crates/node/src/control/peer.rs
+++ b/crates/node/src/control/peer.rs
@@ -81,8 +81,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Senders {
     sockets: IndexMap<CompactString, nng::Socket>,
-    /// The last full catalog of each kind that was sent, encoded in packed form.
-    packed: Vec<(CatalogKey, Rc<[u8]>)>,
+    /// The last full catalog of each kind that was sent, compressed.
+    compressed: Vec<(CatalogKey, Rc<[u8]>)>,
 }
 
 /// Identifies the full catalog in a message.
@@ -106,8 +106,8 @@
 
 impl Senders {
     /// Sends the message, or drops it if the socket cannot be opened or its buffer is full. Returns the bytes sent.
-    pub(crate) fn send(&mut self, to: &CompactString, message: &message::Message, pack: bool) -> usize {
-        let bytes = match self.encode(message, pack) {
+    pub(crate) fn send(&mut self, to: &CompactString, message: &message::Message, compress: bool) -> usize {
+        let bytes = match self.encode(message, compress) {
             Ok(bytes) => bytes,
             Err(error) => {
                 tracing::error!(detail = %error, "cannot encode a message");
@@ -124,16 +124,16 @@
         bytes.len()
     }
 
-    /// Encodes a message. A full catalog is packed once and reused, since hosts that start together all get it.
-    fn encode(&mut self, message: &message::Message, pack: bool) -> Result<Rc<[u8]>, wire::peer::Error> {
-        let catalog_key = CatalogKey::of(message).filter(|_| pack);
-        if let Some((_, bytes)) = self.packed.iter().find(|(key, _)| Some(key) == catalog_key.as_ref()) {
+    /// Encodes a message. A full catalog is compressed once and reused, since hosts that start together all get it.
+    fn encode(&mut self, message: &message::Message, compress: bool) -> Result<Rc<[u8]>, wire::peer::Error> {
+        let catalog_key = CatalogKey::of(message).filter(|_| compress);
+        if let Some((_, bytes)) = self.compressed.iter().find(|(key, _)| Some(key) == catalog_key.as_ref()) {
             return Ok(Rc::clone(bytes));
         }
-        let bytes: Rc<[u8]> = wire::peer::encode(message, pack)?.into();
+        let bytes: Rc<[u8]> = wire::peer::encode(message, compress)?.into();
         if let Some(catalog_key) = catalog_key {
-            self.packed.retain(|(key, _)| key.kind != catalog_key.kind);
-            self.packed.push((catalog_key, Rc::clone(&bytes)));
+            self.compressed.retain(|(key, _)| key.kind != catalog_key.kind);
+            self.compressed.push((catalog_key, Rc::clone(&bytes)));
         }
         Ok(bytes)
     }
--- a/crates/node/src/lane/accept.rs
+++ b/crates/node/src/lane/accept.rs
@@ -133,14 +133,14 @@
 /// Accepts the next connection; `None` once the node is closing and the backlog is empty.
 async fn accept(shell: &Shell, listener: &tokio::net::TcpListener) -> Option<(tokio::net::TcpStream, net::SocketAddr)> {
     loop {
-        let closing = shell.shared.phase_changed.notified();
+        let phase_changed = shell.shared.phase_changed.notified();
         let is_closing = shell.shared.phase() >= shared::Phase::Closing;
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
             // `biased`: connections in the backlog are accepted before this branch is polled.
             () = std::future::ready(()), if is_closing => return None,
-            () = closing => continue,
+            () = phase_changed => continue,
         };
         match accepted {
             Ok(accepted) => return Some(accepted),
--- a/crates/node/src/lane/attempt.rs
+++ b/crates/node/src/lane/attempt.rs
@@ -35,7 +35,7 @@
     let settings = &shell.shared.settings;
     let leafs = shell.shared.interface.backend;
     let origin =
-        protocol::Origin { host: &settings.name, start: shell.shared.origin.incarnation(), lane: shell.index as u32 };
+        protocol::Origin { host: &settings.name, start: shell.shared.clock.incarnation(), lane: shell.index as u32 };
     let name = leafs.attempt_name(origin, dispatch.attempt);
     let mut is_new = false;
     let mut unsent: Option<http::Request<Full<Bytes>>> = None;
--- a/crates/node/src/lane/inbound.rs
+++ b/crates/node/src/lane/inbound.rs
@@ -117,7 +117,7 @@
     async fn wait_for_request(&self) -> io::Result<()> {
         let shared = &self.0.shell.shared;
         loop {
-            let closing = shared.phase_changed.notified();
+            let phase_changed = shared.phase_changed.notified();
             let is_closing = shared.phase() >= shared::Phase::Closing;
             let remaining = if is_closing { clock::Millis::ZERO } else { self.remaining_idle_time() };
             tokio::select! {
@@ -136,7 +136,7 @@
                         return Ok(());
                     }
                 }
-                () = closing => {}
+                () = phase_changed => {}
                 () = self.0.close.notified() => {
                     self.0.state.borrow_mut().is_ended = true;
                     return Ok(());
--- a/crates/node/src/lane/ingress.rs
+++ b/crates/node/src/lane/ingress.rs
@@ -77,20 +77,21 @@
 ) -> Response<ResponseBody> {
     let _guard = shell.shared.track_request();
     let started = std_time::Instant::now();
-    let relay_params = if source == Source::Hosts { relay::take_metadata(&mut incoming.headers) } else { None };
+    let relay_metadata = if source == Source::Hosts { relay::take_metadata(&mut incoming.headers) } else { None };
     if source == Source::Hosts && shell.shared.phase() >= shared::Phase::Draining {
         return refuse_while_draining(shell);
     }
     let (request, caller_timeout) = match read_request(shell, incoming).await {
         Ok((request, caller_timeout)) => {
-            (request, relay_params.as_ref().map_or(caller_timeout, |params| params.timeout))
+            (request, relay_metadata.as_ref().map_or(caller_timeout, |metadata| metadata.timeout))
         }
         Err(refusal) => return reject(shell, &refusal, from),
     };
     let elapsed = started.elapsed().as_millis() as u64;
     let caller_timeout = caller_timeout.map(|caller_timeout| caller_timeout - clock::Millis(elapsed));
     let name = request.head.name.clone();
-    let (caller, receiver) = shell.request(request, caller_timeout, relay_params.as_ref().map(|params| params.relayed));
+    let (caller, receiver) =
+        shell.request(request, caller_timeout, relay_metadata.as_ref().map(|metadata| metadata.relayed));
     let mut hang_up = HangUp { shell: Rc::clone(shell), caller: Some(caller) };
     let answer = tokio::select! {
         biased;
@@ -104,7 +105,7 @@
         return close_after(respond(shell, Response::new(Bytes::new())));
     };
     hang_up.caller = None;
-    let from = relay_params.as_ref().map(|params| params.from.as_str());
+    let from = relay_metadata.as_ref().map(|metadata| metadata.from.as_str());
     record_answer(shell, &name, from, &answer, started);
     let (outcome, retry_after) = (answer.core.outcome, answer.core.retry_after);
     let mut response = respond(shell, shell.shared.interface.frontend.answer(answer));
@@ -158,11 +159,11 @@
     let Incoming { method, target, mut headers, body } = incoming;
     check_framing(&headers)?;
     check_head(shell, &target, &headers)?;
-    let ask = shell.shared.interface.frontend.parse(&target, &headers)?;
+    let head = shell.shared.interface.frontend.parse(&target, &headers)?;
     let body = if body_is_empty(&headers) { Bytes::new() } else { read_body(shell, body).await? };
     protocol::strip_hop_by_hop(&mut headers);
-    let caller_timeout = ask.timeout;
-    Ok((protocol::Request { head: ask, method, target: origin_form(target), headers, body }, caller_timeout))
+    let caller_timeout = head.timeout;
+    Ok((protocol::Request { head, method, target: origin_form(target), headers, body }, caller_timeout))
 }
 
 fn body_is_empty(headers: &HeaderMap) -> bool {
--- a/crates/node/src/lane/mod.rs
+++ b/crates/node/src/lane/mod.rs
@@ -122,9 +122,9 @@
 impl Shell {
     fn new(shared: Arc<shared::Shared>, index: usize) -> Rc<Self> {
         let lane = traffic::Lane { index: index as u32, count: shared.lanes.len() as u32 };
-        let seed = catalog::Digest::of(&shared.settings.name).0 ^ shared.origin.incarnation() ^ index as u64;
+        let seed = catalog::Digest::of(&shared.settings.name).0 ^ shared.clock.incarnation() ^ index as u64;
         let pools = pool::Pools::new(shared.settings.descriptors, shared.lanes.len());
-        let core = traffic::Core::new(shared.settings.traffic.clone(), lane, seed, shared.origin.now());
+        let core = traffic::Core::new(shared.settings.traffic.clone(), lane, seed, shared.clock.now());
         Rc::new(Self {
             shared,
             index,
@@ -143,7 +143,7 @@
     }
 
     pub(crate) fn now(&self) -> clock::Millis {
-        self.shared.origin.now()
+        self.shared.clock.now()
     }
 
     /// The limits on callers' requests and connections in force; `None` if the configuration has none.
@@ -216,8 +216,8 @@
             traffic::event::Output::Dispatch(dispatch) => self.dispatch(dispatch),
             traffic::event::Output::Cancel { attempt } => self.cancel(attempt),
             traffic::event::Output::Answer(answer) => self.answer(answer),
-            traffic::event::Output::Trim { server, keep } => {
-                self.state.borrow_mut().pools.trim(server, keep as usize);
+            traffic::event::Output::Trim { server, limit } => {
+                self.state.borrow_mut().pools.trim(server, limit as usize);
             }
             traffic::event::Output::Revalidate => {
                 self.shared.control.send(shared::ToControl::Revalidate).ok();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The shell of a node: feeds events from sockets and timers to the cores of `shallothub-core` and
+//! The I/O layer (shell) of a node: feeds events from sockets and timers to the cores of `shallothub-core` and
 //! executes their outputs.
 //!
 //! Threads: one for control state ([`control`]), one for each traffic lane ([`lane`]), and the main
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -101,7 +101,7 @@
         data_centre = %settings.data_centre,
         version = env!("CARGO_PKG_VERSION"),
         interface = ?settings.interface,
-        life = format!("{:016x}", shared.origin.incarnation()),
+        life = format!("{:016x}", shared.clock.incarnation()),
         listen = %shared.addresses.listen,
         peer = %shared.addresses.peer,
         ready = shared.addresses.ready.map(tracing::field::display),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -139,8 +139,8 @@
     pub interface: protocol::Interface,
     /// The addresses in use.
     pub addresses: Addresses,
-    /// The origin of the node's clock, common to all threads.
-    pub origin: time::Clock,
+    /// The node's clock, common to all threads.
+    pub clock: time::Clock,
     /// Metrics, updated by all threads.
     pub metrics: metrics::Metrics,
     /// The status last published by the control thread.
@@ -173,7 +173,7 @@
             settings,
             interface,
             addresses,
-            origin: time::Clock::new(),
+            clock: time::Clock::new(),
             metrics,
             status: ArcSwap::default(),
             lane_stats,
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -104,7 +104,7 @@
             document: CompactString::const_new("manifest"),
             position: plan::Position { line: 1, column: 1 },
             problem: "the manifest has version 0 or no parts".to_owned(),
-            remedy: "generate it again with `shallotctl manifest`".to_owned(),
+            remedy: "generate it again with `shallotctl manifest` and a higher version".to_owned(),
         }]);
     }
     Ok(manifest)
--- a/crates/standin/src/registry.rs
+++ b/crates/standin/src/registry.rs
@@ -213,7 +213,7 @@
                     return Some(answer(200, opposite::changes(&events, state.revision), state.era));
                 }
             }
-            // The next iteration tells a change from a time-out.
+            // The next iteration distinguishes a change from a time-out.
             tokio::time::timeout_at(deadline, changed).await.ok();
         }
     }
--- a/crates/wire/src/relay.rs
+++ b/crates/wire/src/relay.rs
@@ -25,7 +25,7 @@
 /// Response header: delay before the next request to this host, in ms.
 const RETRY_AFTER: HeaderName = HeaderName::from_static("x-shallot-retry-after-ms");
 
-/// What the relaying host adds to a request.
+/// Metadata that the relaying host adds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Metadata {
     /// The name of the relaying host.
