--- a/benches/capacity/main.rs
+++ b/benches/capacity/main.rs
@@ -1,8 +1,8 @@
-//! Slopes for `docs/CAPACITY.md`, measured on the real cores: `cargo bench --bench
-//! capacity -- FILE` writes the points to FILE, and prints the fits.
+//! Measures how the cost of the cores scales, for `docs/CAPACITY.md`: `cargo bench --bench
+//! capacity -- FILE` writes the points to FILE and prints the linear fits.
 
-mod account;
-#[expect(dead_code, unreachable_pub, reason = "the tests of spreading use the rest")]
+mod allocator;
+#[expect(dead_code, unreachable_pub, reason = "the other items are used by the dissemination tests")]
 #[path = "../../crates/core/tests/mesh/mod.rs"]
 mod mesh;
 mod points;
@@ -17,7 +17,7 @@
     slopes::attempts(&mut points);
     slopes::selectors(&mut points);
     slopes::shards(&mut points);
-    slopes::listed_hosts(&mut points);
+    slopes::entry_hosts(&mut points);
     slopes::hosts(&mut points);
     points.print();
     if let Some(path) = path {
--- a/benches/capacity/slopes.rs
+++ b/benches/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! The measurements, each over two decades of its size.
+//! The measurements; each one varies its size over about two orders of magnitude.
 
 use std::{sync::Arc, time::Instant};
 
@@ -14,13 +14,13 @@
 use shallothub_settings::document;
 use shallothub_wire::peer;
 
-use crate::{account, mesh, points::Points};
+use crate::{allocator, mesh, points::Points};
 
-/// Leaves of one service: 120 shards with two replicas each.
-const SERVICE: usize = 240;
+/// Number of leaves of one service: 120 shards with two replicas each.
+const LEAVES_PER_SERVICE: usize = 240;
 const LEAVES: [usize; 5] = [240, 1440, 4320, 14_400, 43_200];
 
-fn service(index: usize, leaves: usize) -> String {
+fn service_text(index: usize, leaves: usize) -> String {
     let shards = (leaves / 2).max(1);
     let names: Vec<String> = (0..shards).map(|shard| format!("s{shard}")).collect();
     let mut text = format!(
@@ -64,21 +64,21 @@
 type Parts = IndexMap<CompactString, String>;
 
 fn documents(leaves: usize) -> [Parts; 2] {
-    let services = leaves / SERVICE;
+    let services = leaves / LEAVES_PER_SERVICE;
     let mut config = Parts::new();
-    let mut listed = Parts::new();
+    let mut host_parts = Parts::new();
     for index in 0..services {
-        config.insert(format_compact!("shallothub/services/{index:04}"), service(index, SERVICE));
-        listed.insert(format_compact!("shallothub/hosts/{index:04}"), host_text(index, SERVICE));
+        config.insert(format_compact!("shallothub/services/{index:04}"), service_text(index, LEAVES_PER_SERVICE));
+        host_parts.insert(format_compact!("shallothub/hosts/{index:04}"), host_text(index, LEAVES_PER_SERVICE));
     }
     for first in (0..services).step_by(60) {
         let count = 60.min(services - first);
-        config.insert(format_compact!("shallothub/selectors/{first:04}"), shifted(first, count));
+        config.insert(format_compact!("shallothub/selectors/{first:04}"), selector_part(first, count));
     }
-    [config, listed]
+    [config, host_parts]
 }
 
-fn shifted(first: usize, count: usize) -> String {
+fn selector_part(first: usize, count: usize) -> String {
     let mut text = "selectors:\n".to_owned();
     for line in selector_text(first + count, 1).lines().skip(1 + first) {
         text.push_str(line);
@@ -125,17 +125,17 @@
     core
 }
 
-fn loaded(leaves: usize) -> (control::Core, Arc<view::View>) {
-    let [config, listed] = documents(leaves);
+fn load(leaves: usize) -> (control::Core, Arc<view::View>) {
+    let [config, host_parts] = documents(leaves);
     let mut core = control_core();
     core.step(clock::Millis(2), [control::Input::Peer(update(catalog::Kind::Config, 1, &config))]);
-    core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &listed))]);
+    core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &host_parts))]);
     let view = Arc::clone(core.view().expect("a view"));
     (core, view)
 }
 
-/// Shortest time of `count` calls, in microseconds: other work on the machine only adds.
-fn shortest(count: usize, mut call: impl FnMut()) -> f64 {
+/// Returns the shortest time of `count` calls, in microseconds: other load on the machine can only add to it.
+fn shortest_us(count: usize, mut call: impl FnMut()) -> f64 {
     let mut best = f64::MAX;
     for _ in 0..count {
         let start = Instant::now();
@@ -145,28 +145,28 @@
     best
 }
 
-/// State, start and change against the number of leaves.
+/// Measures memory, start-up and updates by the number of leaves.
 pub(crate) fn leaves(points: &mut Points) {
     for leaves in LEAVES {
-        let [config, listed] = documents(leaves);
-        let messages = [update(catalog::Kind::Config, 1, &config), update(catalog::Kind::Hosts, 1, &listed)];
+        let [config, host_parts] = documents(leaves);
+        let messages = [update(catalog::Kind::Config, 1, &config), update(catalog::Kind::Hosts, 1, &host_parts)];
         let bytes: usize = messages.iter().map(|message| peer::encode(message, false).expect("encoded").len()).sum();
         points.add("start_bytes_by_leaf", leaves, bytes as f64);
-        let before = account::held();
+        let before = allocator::live_bytes();
         let start = Instant::now();
-        let (core, view) = loaded(leaves);
+        let (core, view) = load(leaves);
         points.add("start_us_by_leaf", leaves, start.elapsed().as_secs_f64() * 1e6);
-        let control = account::held() - before;
+        let control = allocator::live_bytes() - before;
         points.add("control_bytes_by_leaf", leaves, control as f64);
-        let before = account::held();
+        let before = allocator::live_bytes();
         let mut traffic = traffic_core(&view);
-        points.add("traffic_bytes_by_leaf", leaves, (account::held() - before) as f64);
+        points.add("traffic_bytes_by_leaf", leaves, (allocator::live_bytes() - before) as f64);
         let mut next = clock::Millis(10);
         let mut version = 1;
         points.add(
             "traffic_view_us_by_leaf",
             leaves,
-            shortest(5, || {
+            shortest_us(5, || {
                 version += 1;
                 let mut newer = view::View::clone(&view);
                 newer.stamp.version = version;
@@ -175,19 +175,19 @@
                 traffic.step(next, [event::Input::View(newer)]);
             }),
         );
-        change(points, leaves, core, listed);
+        update_leaf(points, leaves, core, host_parts);
     }
 }
 
-/// One leaf is marked as leaving: one part of the list of hosts is sent as a difference.
-fn change(points: &mut Points, leaves: usize, mut core: control::Core, listed: Parts) {
+/// Measures an update that marks one leaf as leaving: one part of the host list is sent as a delta.
+fn update_leaf(points: &mut Points, leaves: usize, mut core: control::Core, host_parts: Parts) {
     let key = CompactString::const_new("shallothub/hosts/0000");
-    let mut texts = [listed[&key].clone(), listed[&key].clone()];
+    let mut texts = [host_parts[&key].clone(), host_parts[&key].clone()];
     texts[1] = texts[1].replacen("state: live", "state: leaving", 1);
     let mut version = 1;
     let mut now = clock::Millis(100);
     let mut bytes = 0;
-    let took = shortest(5, || {
+    let took = shortest_us(5, || {
         version += 1;
         let text = &texts[version as usize % 2];
         let part =
@@ -228,14 +228,14 @@
     };
     points.add("digest_bytes_by_leaf", leaves, peer::encode(&digest, false).expect("encoded").len() as f64);
     let digests = 100;
-    let took = shortest(5, || {
+    let took = shortest_us(5, || {
         for _ in 0..digests {
             now = now + clock::Millis(1);
             core.step(now, [control::Input::Peer(digest.clone())]);
         }
     });
     points.add("digest_us_by_leaf", leaves, took / f64::from(digests));
-    let took = shortest(5, || {
+    let took = shortest_us(5, || {
         for _ in 0..digests {
             now = now + clock::Millis(1);
             core.step(now, [control::Input::Tick]);
@@ -244,7 +244,7 @@
     points.add("tick_us_by_leaf", leaves, took / f64::from(digests));
 }
 
-/// What one part costs by its own size.
+/// Measures the size and parse time of one part by its number of leaves.
 pub(crate) fn parts(points: &mut Points) {
     for leaves in [10, 30, 100, 300, 1000] {
         let text = host_text(0, leaves);
@@ -252,7 +252,7 @@
         points.add(
             "parse_us_by_leaf",
             leaves,
-            shortest(20, || {
+            shortest_us(20, || {
                 let part = document::part("shallothub/hosts/x", &text).expect("parsed");
                 assert!(matches!(part, plan::Part::Hosts { .. }));
             }),
@@ -260,7 +260,7 @@
     }
 }
 
-fn ask(core: &mut traffic::Core, now: clock::Millis, caller: u64) -> Vec<event::Output> {
+fn send_request(core: &mut traffic::Core, now: clock::Millis, caller: u64) -> Vec<event::Output> {
     let class = CompactString::const_new("ask-0-0");
     let request = event::Request {
         caller: id::Caller(caller),
@@ -273,48 +273,48 @@
     core.step(now, [event::Input::Request(request)])
 }
 
-fn one_service(leaves: usize, connections: u32) -> Arc<view::View> {
+fn one_service_view(leaves: usize, connections: u32) -> Arc<view::View> {
     let (_, view) = {
         let mut config = Parts::new();
-        let text = service(0, leaves).replace("connections: 25", &format!("connections: {connections}"));
+        let text = service_text(0, leaves).replace("connections: 25", &format!("connections: {connections}"));
         config.insert(CompactString::const_new("shallothub/services/0"), text);
         config.insert(CompactString::const_new("shallothub/selectors/0"), selector_text(1, 1));
-        let mut listed = Parts::new();
-        listed.insert(CompactString::const_new("shallothub/hosts/0"), host_text(0, leaves));
+        let mut host_parts = Parts::new();
+        host_parts.insert(CompactString::const_new("shallothub/hosts/0"), host_text(0, leaves));
         let mut core = control_core();
         core.step(clock::Millis(2), [control::Input::Peer(update(catalog::Kind::Config, 1, &config))]);
-        core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &listed))]);
+        core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &host_parts))]);
         let view = Arc::clone(core.view().expect("a view"));
         (core, view)
     };
     view
 }
 
-/// State of queries in flight, each to 120 shards.
+/// Measures the memory of queries in flight, each to 120 shards.
 pub(crate) fn queries(points: &mut Points) {
-    let view = one_service(SERVICE, 4_000_000);
+    let view = one_service_view(LEAVES_PER_SERVICE, 4_000_000);
     for count in [10, 30, 100, 300, 1000] {
         let policy =
             policy::Policy { adaptive_admission: false, running_ceiling: u32::MAX, ..policy::Policy::default() };
         let mut core = traffic::Core::new(policy, traffic::Lane { index: 0, count: 1 }, 1, clock::Millis(1));
         core.step(clock::Millis(1), [event::Input::View(Arc::clone(&view))]);
-        let before = account::held();
+        let before = allocator::live_bytes();
         for caller in 0..count {
-            drop(ask(&mut core, clock::Millis(2), caller as u64));
+            drop(send_request(&mut core, clock::Millis(2), caller as u64));
         }
-        points.add("query_bytes_by_query", count, (account::held() - before) as f64);
+        points.add("query_bytes_by_query", count, (allocator::live_bytes() - before) as f64);
     }
 }
 
-/// Time of a whole query in the core, from request to answer, against its shards.
+/// Measures the time of a query in the core, from request to answer, by its number of shards.
 pub(crate) fn attempts(points: &mut Points) {
     for leaves in [24, 72, 240, 720, 2400] {
-        let view = one_service(leaves, 4000);
+        let view = one_service_view(leaves, 4000);
         let mut core = traffic_core(&view);
         let mut now = clock::Millis(2);
         let mut caller = 0;
         let rounds = 50;
-        let took = shortest(20, || {
+        let took = shortest_us(20, || {
             for _ in 0..rounds {
                 caller += 1;
                 now = now + clock::Millis(1);
@@ -326,7 +326,7 @@
 }
 
 fn run_query(core: &mut traffic::Core, now: clock::Millis, caller: u64) {
-    let mut outputs = ask(core, now, caller);
+    let mut outputs = send_request(core, now, caller);
     let snapshot = view::Snapshot { epoch: 0, version: 1 };
     let mut answered = false;
     while !outputs.is_empty() {
@@ -347,66 +347,66 @@
     assert!(answered, "the query was answered");
 }
 
-/// State and compile time against the selectors of one service with 120 shards.
-fn compiled(count: usize) -> (f64, f64) {
+/// Measures memory and compile time by the number of selectors of one service with 120 shards.
+fn compile(count: usize) -> (f64, f64) {
     let services = plan::Part::Services {
         entry_hosts_most: 8,
-        services: match document::part("shallothub/services/0", &service(0, SERVICE)) {
+        services: match document::part("shallothub/services/0", &service_text(0, LEAVES_PER_SERVICE)) {
             Ok(plan::Part::Services { services, .. }) => services,
             _ => Vec::new(),
         },
     };
     let selectors = document::part("shallothub/selectors/0", &selector_text(1, count)).expect("parsed");
     let mut registry = view::Registry::default();
-    let before = account::held();
+    let before = allocator::live_bytes();
     let view = plan::compile(Default::default(), [&services, &selectors], plan::Fleet::default(), &mut registry);
-    let bytes = (account::held() - before) as f64;
+    let bytes = (allocator::live_bytes() - before) as f64;
     assert_eq!(view.classes.len(), count);
-    let took = shortest(5, || {
+    let took = shortest_us(5, || {
         plan::compile(Default::default(), [&services, &selectors], plan::Fleet::default(), &mut registry);
     });
     (bytes, took)
 }
 
-/// What a selector costs.
+/// Measures the memory and compile time of a view by its number of selectors.
 pub(crate) fn selectors(points: &mut Points) {
     for count in [4, 13, 40, 130, 400] {
-        let (bytes, took) = compiled(count);
+        let (bytes, took) = compile(count);
         points.add("view_bytes_by_selector", count, bytes);
         points.add("compile_us_by_selector", count, took);
     }
 }
 
-/// State of a view with a fixed number of leaves, against the shards that they hold.
+/// Measures the memory of a view with a fixed number of leaves by the number of shards.
 pub(crate) fn shards(points: &mut Points) {
     const LEAVES: usize = 2400;
     for count in [24, 80, 240, 800, 2400] {
-        let text = service(0, LEAVES);
+        let text = service_text(0, LEAVES);
         let services = match document::part("shallothub/services/0", &text) {
             Ok(plan::Part::Services { mut services, .. }) => {
-                cut(&mut services[0], count);
+                assign_shards(&mut services[0], count);
                 plan::Part::Services { entry_hosts_most: 8, services }
             }
             _ => continue,
         };
         let selectors = document::part("shallothub/selectors/0", &selector_text(1, 1)).expect("parsed");
         let mut registry = view::Registry::default();
-        let before = account::held();
+        let before = allocator::live_bytes();
         let view = plan::compile(Default::default(), [&services, &selectors], plan::Fleet::default(), &mut registry);
-        points.add("view_bytes_by_shard", count, (account::held() - before) as f64);
+        points.add("view_bytes_by_shard", count, (allocator::live_bytes() - before) as f64);
         assert_eq!(view.classes[0].branches[0].targets.len(), count);
     }
 }
 
-fn cut(service: &mut plan::Service, count: usize) {
+fn assign_shards(service: &mut plan::Service, count: usize) {
     service.shards = (0..count).map(|shard| format_compact!("s{shard}")).collect();
     for (index, server) in service.servers.iter_mut().enumerate() {
         server.shards = vec![format_compact!("s{}", index % count)];
     }
 }
 
-/// Spread, messages and platform calls against the number of hosts in 13 data centres. Every core
-/// holds the whole list, so the memory of the mesh grows with the square and bounds its size.
+/// Measures dissemination, messages and platform calls by the number of hosts in 13 data centres. Every core
+/// holds the full host list, so memory grows quadratically and limits the size of the mesh.
 pub(crate) fn hosts(points: &mut Points) {
     for count in [13, 39, 130, 390, 1300] {
         let mut mesh = mesh::Mesh::new(count, 13, &control::Policy::default(), 1);
@@ -431,13 +431,13 @@
         points.add("change_ms_median_by_host", count, times[count / 2] as f64);
         points.add("change_ms_max_by_host", count, times[count - 1] as f64);
         let before = total(&mesh);
-        let largest_before: Vec<u64> = mesh.hosts.iter().map(|host| host.sent_bytes).collect();
+        let sent_before: Vec<u64> = mesh.hosts.iter().map(|host| host.sent_bytes).collect();
         mesh.publish_hosts(&[count / 2]);
         mesh.run(1000);
         points.add("host_change_bytes_by_host", count, (total(&mesh) - before) as f64 / count as f64);
-        let most = mesh.hosts.iter().zip(largest_before).map(|(host, before)| host.sent_bytes - before).max();
-        points.add("host_change_bytes_most_by_host", count, most.unwrap_or(0) as f64);
-        // The platform is away for long enough that no host has a fresh confirmation.
+        let largest = mesh.hosts.iter().zip(sent_before).map(|(host, before)| host.sent_bytes - before).max();
+        points.add("host_change_bytes_most_by_host", count, largest.unwrap_or(0) as f64);
+        // The outage lasts long enough for every host's last confirmation to become stale.
         mesh.away = true;
         mesh.run(40_000);
         let calls = mesh.reads + mesh.watches;
@@ -450,31 +450,31 @@
     mesh.hosts.iter().map(|host| host.sent_bytes + host.received_bytes).sum()
 }
 
-/// State and time of one control core against the entry hosts in its list.
-pub(crate) fn listed_hosts(points: &mut Points) {
+/// Measures the memory and update time of one control core by the number of entry hosts in its list.
+pub(crate) fn entry_hosts(points: &mut Points) {
     for count in [78, 260, 780, 2600, 7800] {
         let mut config = Parts::new();
-        config.insert(CompactString::const_new("shallothub/services/0"), service(0, SERVICE));
+        config.insert(CompactString::const_new("shallothub/services/0"), service_text(0, LEAVES_PER_SERVICE));
         config.insert(CompactString::const_new("shallothub/selectors/0"), selector_text(1, 1));
-        let mut listed = Parts::new();
-        listed.insert(CompactString::const_new("shallothub/hosts/leaves"), host_text(0, SERVICE));
+        let mut host_parts = Parts::new();
+        host_parts.insert(CompactString::const_new("shallothub/hosts/leaves"), host_text(0, LEAVES_PER_SERVICE));
         for first in (0..count).step_by(100) {
-            let text = entry_text(first, count.min(first + 100));
-            listed.insert(format_compact!("shallothub/hosts/{first:05}"), text);
+            let text = entry_host_text(first, count.min(first + 100));
+            host_parts.insert(format_compact!("shallothub/hosts/{first:05}"), text);
         }
-        let before = account::held();
+        let before = allocator::live_bytes();
         let mut core = control_core();
         core.step(clock::Millis(2), [control::Input::Peer(update(catalog::Kind::Config, 1, &config))]);
-        core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &listed))]);
-        points.add("control_bytes_by_host", count, (account::held() - before) as f64);
+        core.step(clock::Millis(3), [control::Input::Peer(update(catalog::Kind::Hosts, 1, &host_parts))]);
+        points.add("control_bytes_by_host", count, (allocator::live_bytes() - before) as f64);
         let key = CompactString::const_new("shallothub/hosts/00000");
         let mut version = 1;
         points.add(
             "host_change_us_by_host",
             count,
-            shortest(5, || {
+            shortest_us(5, || {
                 version += 1;
-                let text = listed[&key].replacen("peer: \"10.0", &format!("peer: \"{version}.0"), 1);
+                let text = host_parts[&key].replacen("peer: \"10.0", &format!("peer: \"{version}.0"), 1);
                 let digest = catalog::Digest::of(&text);
                 let part = message::Part { key: key.clone(), digest, text: Some(Arc::from(text)) };
                 let base = Some(core.stamp(catalog::Kind::Hosts));
@@ -496,7 +496,7 @@
     }
 }
 
-fn entry_text(first: usize, end: usize) -> String {
+fn entry_host_text(first: usize, end: usize) -> String {
     let mut text = "entry_hosts:\n".to_owned();
     for host in first..end {
         let peer = mesh::peer(host);
--- a/crates/core/benches/decisions/fleet.rs
+++ b/crates/core/benches/decisions/fleet.rs
@@ -1,13 +1,13 @@
-//! Fake leaves: slots, a queue, a speed, and what they hold.
+//! Simulated leaves with slots, a queue, a speed and index versions.
 
 use std::collections::VecDeque;
 
 use shallothub_core::{id, view};
 
-/// Microseconds.
+/// Simulated time, in microseconds.
 pub(crate) type Micros = u64;
 
-/// Sizes of one service, from the brief.
+/// Dimensions of one service, as in the requirements.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
     pub(crate) name: &'static str,
@@ -15,11 +15,11 @@
     pub(crate) replicas: usize,
     pub(crate) slots: usize,
     pub(crate) connections: u32,
-    /// Time for a new connection.
+    /// Time to open a connection.
     pub(crate) connect: Micros,
-    /// One way between host and leaf.
+    /// One-way delay between host and leaf.
     pub(crate) link: Micros,
-    /// Mean time of a search.
+    /// Mean service time of a search.
     pub(crate) service: Micros,
     pub(crate) deadline_ms: u64,
     pub(crate) settle_ms: Option<u64>,
@@ -59,13 +59,13 @@
         self.shards * self.replicas
     }
 
-    /// Queries a second that the slots can carry.
+    /// Maximum queries per second, as limited by the slots.
     pub(crate) fn capacity(&self) -> f64 {
         (self.replicas * self.slots) as f64 * 1e6 / self.service as f64
     }
 }
 
-/// A search at a leaf.
+/// A search that is queued or running at a leaf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Job {
     pub(crate) host: usize,
@@ -76,42 +76,42 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leaf {
-    pub(crate) up: bool,
-    pub(crate) slow: u64,
+    pub(crate) is_up: bool,
+    pub(crate) slowdown: u64,
     pub(crate) version: u64,
-    pub(crate) held: Option<u64>,
+    pub(crate) previous_version: Option<u64>,
     pub(crate) running: Vec<Job>,
     pub(crate) queue: VecDeque<Job>,
-    /// Reports no load although it is loaded.
-    pub(crate) lies: bool,
+    /// Whether the leaf always reports a load of zero.
+    pub(crate) hides_load: bool,
 }
 
-/// Jobs that may wait at a leaf before it sheds.
-pub(crate) const QUEUE: usize = 16;
+/// Queue length at which a leaf refuses further jobs.
+pub(crate) const QUEUE_CAPACITY: usize = 16;
 
 impl Leaf {
     pub(crate) fn load(&self) -> u32 {
-        if self.lies { 0 } else { (self.running.len() + self.queue.len()) as u32 }
+        if self.hides_load { 0 } else { (self.running.len() + self.queue.len()) as u32 }
     }
 
-    pub(crate) fn forget(&mut self, host: usize, attempt: id::Attempt) -> bool {
-        let is_it = |job: &Job| job.host == host && job.attempt == attempt;
-        self.queue.retain(|job| !is_it(job));
-        let before = self.running.len();
-        self.running.retain(|job| !is_it(job));
-        before != self.running.len()
+    pub(crate) fn remove(&mut self, host: usize, attempt: id::Attempt) -> bool {
+        let matches = |job: &Job| job.host == host && job.attempt == attempt;
+        self.queue.retain(|job| !matches(job));
+        let running_before = self.running.len();
+        self.running.retain(|job| !matches(job));
+        running_before != self.running.len()
     }
 
     pub(crate) fn snapshot(&self, want: Option<view::Snapshot>) -> view::Snapshot {
         let version = match want {
-            Some(want) if Some(want.version) == self.held => want.version,
+            Some(want) if Some(want.version) == self.previous_version => want.version,
             _ => self.version,
         };
         view::Snapshot { epoch: 1, version }
     }
 
-    pub(crate) fn other(&self, given: view::Snapshot) -> Option<view::Snapshot> {
-        let version = if given.version == self.version { self.held? } else { self.version };
+    pub(crate) fn other_snapshot(&self, given: view::Snapshot) -> Option<view::Snapshot> {
+        let version = if given.version == self.version { self.previous_version? } else { self.version };
         Some(view::Snapshot { epoch: 1, version })
     }
 }
--- a/crates/core/benches/decisions/oracle.rs
+++ b/crates/core/benches/decisions/oracle.rs
@@ -1,5 +1,5 @@
-//! The oracle: it sees each leaf's queue and speed, sends each search where it will end first,
-//! needs no connections and never fails. What it leaves is the cost of the work itself.
+//! The oracle: a lower bound that knows each leaf's queue and speed and sends each search to the slot
+//! that finishes first. It needs no connections and never fails, so only the cost of the work remains.
 
 use rand::{Rng, SeedableRng, rngs};
 
@@ -11,8 +11,8 @@
     let mut random = rngs::SmallRng::seed_from_u64(seed);
     let mut slow = vec![1_u64; size.leaves()];
     let mut up = vec![true; size.leaves()];
-    // When each slot of each leaf is free again.
-    let mut free: Vec<Vec<Micros>> = vec![vec![0; size.slots]; size.leaves()];
+    // The time at which each slot of each leaf becomes free.
+    let mut free_at: Vec<Vec<Micros>> = vec![vec![0; size.slots]; size.leaves()];
     let mut changes = setup.changes.clone();
     changes.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
     let mut report = report::Report::default();
@@ -24,7 +24,7 @@
             match change {
                 run::Change::Slow(leaf, times) => slow[leaf] = times,
                 run::Change::Lost(leaf) => up[leaf] = false,
-                run::Change::Roll(_) | run::Change::Lies(_) => {}
+                run::Change::Roll(_) | run::Change::HideLoad(_) => {}
             }
         }
         let arrive = at + size.link;
@@ -36,9 +36,9 @@
                 if !up[leaf] {
                     continue;
                 }
-                for (slot, at) in free[leaf].iter().enumerate() {
+                for (slot, at) in free_at[leaf].iter().enumerate() {
                     let end = (*at).max(arrive) + (size.service as f64 * slow[leaf] as f64 * sample) as Micros;
-                    if best.is_none_or(|(held, ..)| end < held) {
+                    if best.is_none_or(|(earliest, ..)| end < earliest) {
                         best = Some((end, leaf, slot));
                     }
                 }
@@ -51,15 +51,15 @@
         let is_in_time = end - at <= size.deadline_ms * 1000;
         if is_in_time {
             for (end, leaf, slot) in ends {
-                free[leaf][slot] = end;
+                free_at[leaf][slot] = end;
             }
         }
-        if at >= setup.warm {
-            report.asked += 1;
+        if at >= setup.warm_up {
+            report.requests += 1;
             report.first += size.shards as u64;
             report.arrivals += size.shards as u64;
             let outcome = if is_in_time { event::Outcome::Answered } else { event::Outcome::NotRun };
-            report.on_end(end, if is_in_time { end - at } else { 0 }, outcome, 1.0);
+            report.record(end, if is_in_time { end - at } else { 0 }, outcome, 1.0);
         }
         now += -(1.0 - random.random::<f64>()).ln() / rate * 1e6;
     }
--- a/crates/core/benches/decisions/run.rs
+++ b/crates/core/benches/decisions/run.rs
@@ -1,4 +1,4 @@
-//! One run: hosts with real traffic cores, fake leaves, fake time in microseconds.
+//! One run: hosts with real traffic cores, simulated leaves, and simulated time in microseconds.
 
 use std::{cmp, collections::BinaryHeap, sync::Arc};
 
@@ -15,31 +15,31 @@
 
 pub(crate) const HOSTS: usize = 8;
 
-/// A change of the fleet at an instant.
+/// A scheduled change to one leaf.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Change {
     Slow(usize, u64),
     Lost(usize),
     Roll(usize),
-    Lies(usize),
+    HideLoad(usize),
 }
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Setup {
     pub(crate) size: fleet::Size,
     pub(crate) policy: policy::Policy,
     pub(crate) hedge: bool,
-    /// Arrivals a second over all hosts, from the instant on.
+    /// Arrivals per second over all hosts, each from its start time on.
     pub(crate) rates: Vec<(Micros, f64)>,
     pub(crate) end: Micros,
     pub(crate) changes: Vec<(Micros, Change)>,
-    /// Answers before this are not counted.
-    pub(crate) warm: Micros,
+    /// Requests that arrive before this time are not counted.
+    pub(crate) warm_up: Micros,
 }
 
-enum Happening {
-    Ask,
+enum Event {
+    Request,
     Step(usize),
     Arrive(usize, fleet::Job),
     Done(usize, fleet::Job),
@@ -49,10 +49,10 @@
 
 struct Host {
     core: traffic::Core,
-    /// Idle connections by leaf.
+    /// Number of idle connections, by leaf.
     idle: Vec<u32>,
     busy: IndexMap<id::Attempt, usize>,
-    asked: IndexMap<id::Caller, Micros>,
+    arrivals: IndexMap<id::Caller, Micros>,
     next: u64,
 }
 
@@ -62,11 +62,11 @@
     random: rngs::SmallRng,
     hosts: Vec<Host>,
     pub(crate) leaves: Vec<fleet::Leaf>,
-    /// Open connections of each leaf.
+    /// Number of open connections, by leaf.
     open: Vec<u32>,
     snapshots: IndexMap<(usize, id::Attempt), view::Snapshot>,
     heap: BinaryHeap<cmp::Reverse<(Micros, u64)>>,
-    happenings: IndexMap<u64, Happening>,
+    events: IndexMap<u64, Event>,
     sequence: u64,
     report: report::Report,
 }
@@ -135,9 +135,9 @@
             let lane = traffic::Lane { index: 0, count: 1 };
             let mut core = traffic::Core::new(setup.policy.clone(), lane, seed ^ (host as u64) << 8, clock::Millis(1));
             core.step(clock::Millis(1), [event::Input::View(Arc::clone(&view))]);
-            hosts.push(Host { core, idle: vec![0; count], busy: IndexMap::new(), asked: IndexMap::new(), next: 0 });
+            hosts.push(Host { core, idle: vec![0; count], busy: IndexMap::new(), arrivals: IndexMap::new(), next: 0 });
         }
-        let leaf = fleet::Leaf { up: true, slow: 1, version: 1, ..fleet::Leaf::default() };
+        let leaf = fleet::Leaf { is_up: true, slowdown: 1, version: 1, ..fleet::Leaf::default() };
         let mut run = Self {
             now: 0,
             random: rngs::SmallRng::seed_from_u64(seed),
@@ -146,35 +146,35 @@
             open: vec![0; count],
             snapshots: IndexMap::new(),
             heap: BinaryHeap::new(),
-            happenings: IndexMap::new(),
+            events: IndexMap::new(),
             sequence: 0,
             report: report::Report::default(),
             setup,
         };
-        run.at(0, Happening::Ask);
+        run.schedule(0, Event::Request);
         for host in 0..HOSTS {
-            run.at(0, Happening::Step(host));
+            run.schedule(0, Event::Step(host));
         }
         for (at, change) in run.setup.changes.clone() {
-            run.at(at, Happening::Change(change));
+            run.schedule(at, Event::Change(change));
         }
         run
     }
 
-    fn at(&mut self, at: Micros, happening: Happening) {
+    fn schedule(&mut self, at: Micros, scheduled: Event) {
         self.sequence += 1;
         self.heap.push(cmp::Reverse((at, self.sequence)));
-        self.happenings.insert(self.sequence, happening);
+        self.events.insert(self.sequence, scheduled);
     }
 
-    pub(crate) fn go(mut self) -> report::Report {
+    pub(crate) fn execute(mut self) -> report::Report {
         while let Some(cmp::Reverse((at, sequence))) = self.heap.pop() {
             if at > self.setup.end {
                 break;
             }
             self.now = at;
-            match self.happenings.swap_remove(&sequence) {
-                Some(happening) => self.happen(happening),
+            match self.events.swap_remove(&sequence) {
+                Some(scheduled) => self.handle(scheduled),
                 None => continue,
             }
         }
@@ -186,42 +186,42 @@
         self.report
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Ask => self.ask(),
-            Happening::Step(host) => {
+    fn handle(&mut self, scheduled: Event) {
+        match scheduled {
+            Event::Request => self.send_request(),
+            Event::Step(host) => {
                 self.step(host, event::Input::Tick);
                 let due = self.hosts[host].core.next_timer().map_or(u64::MAX, |due| due.0.saturating_sub(1) * 1000);
                 let at = due.max(self.now + 1000).min(self.now + 10_000);
-                self.at(at, Happening::Step(host));
+                self.schedule(at, Event::Step(host));
             }
-            Happening::Arrive(leaf, job) => self.arrive(leaf, job),
-            Happening::Done(leaf, job) => self.done(leaf, job),
-            Happening::Reply(host, attempt, reply) => {
+            Event::Arrive(leaf, job) => self.arrive(leaf, job),
+            Event::Done(leaf, job) => self.complete(leaf, job),
+            Event::Reply(host, attempt, reply) => {
                 self.release(host, attempt, true);
                 self.step(host, event::Input::Reply { attempt, reply });
             }
-            Happening::Change(change) => self.change(change),
+            Event::Change(change) => self.change(change),
         }
     }
 
     fn change(&mut self, change: Change) {
         match change {
-            Change::Slow(leaf, times) => self.leaves[leaf].slow = times,
-            Change::Lies(leaf) => self.leaves[leaf].lies = true,
+            Change::Slow(leaf, times) => self.leaves[leaf].slowdown = times,
+            Change::HideLoad(leaf) => self.leaves[leaf].hides_load = true,
             Change::Roll(leaf) => {
                 let leaf = &mut self.leaves[leaf];
-                leaf.held = Some(leaf.version);
+                leaf.previous_version = Some(leaf.version);
                 leaf.version += 1;
             }
             Change::Lost(leaf) => {
-                self.leaves[leaf].up = false;
+                self.leaves[leaf].is_up = false;
                 let lost = std::mem::take(&mut self.leaves[leaf].running);
                 let waiting = std::mem::take(&mut self.leaves[leaf].queue);
                 for job in lost.into_iter().chain(waiting) {
-                    self.at(
+                    self.schedule(
                         self.now + self.setup.size.link,
-                        Happening::Reply(job.host, job.attempt, event::Reply::Lost(event::Loss::Broken)),
+                        Event::Reply(job.host, job.attempt, event::Reply::Lost(event::Loss::Broken)),
                     );
                 }
                 for host in &mut self.hosts {
@@ -235,15 +235,15 @@
         self.setup.rates.iter().rev().find(|(from, _)| *from <= self.now).map_or(1.0, |(_, rate)| *rate)
     }
 
-    fn ask(&mut self) {
+    fn send_request(&mut self) {
         let gap = -(1.0 - self.random.random::<f64>()).ln() / self.rate() * 1e6;
-        self.at(self.now + gap as Micros, Happening::Ask);
+        self.schedule(self.now + gap as Micros, Event::Request);
         let host = self.random.random_range(0..HOSTS);
-        let row = &mut self.hosts[host];
-        row.next += 1;
-        let caller = id::Caller(row.next);
-        row.asked.insert(caller, self.now);
-        self.report.asked += u64::from(self.now >= self.setup.warm);
+        let sender = &mut self.hosts[host];
+        sender.next += 1;
+        let caller = id::Caller(sender.next);
+        sender.arrivals.insert(caller, self.now);
+        self.report.requests += u64::from(self.now >= self.setup.warm_up);
         let class = CompactString::const_new("ask");
         self.step(
             host,
@@ -285,26 +285,26 @@
         let is_new = self.hosts[host].idle[leaf] == 0;
         if is_new {
             self.open[leaf] += 1;
-            self.report.connections_over += u64::from(self.open[leaf] > size.connections);
+            self.report.connections_over_limit += u64::from(self.open[leaf] > size.connections);
         } else {
             self.hosts[host].idle[leaf] -= 1;
         }
-        if !self.leaves[leaf].up {
-            self.at(self.now + 2 * size.link, Happening::Reply(host, attempt, event::Reply::NotSent));
+        if !self.leaves[leaf].is_up {
+            self.schedule(self.now + 2 * size.link, Event::Reply(host, attempt, event::Reply::NotSent));
             return;
         }
         let setup = if is_new { size.connect } else { 0 };
         let deadline = dispatch.deadline.0 * 1000;
         let job = fleet::Job { host, attempt, want: dispatch.want, deadline };
-        self.at(self.now + setup + size.link, Happening::Arrive(leaf, job));
+        self.schedule(self.now + setup + size.link, Event::Arrive(leaf, job));
     }
 
-    /// Closes the connection of a cancelled attempt, or keeps that of a finished one.
+    /// Returns the connection of a finished attempt to the idle pool, or closes that of a cancelled one.
     fn release(&mut self, host: usize, attempt: id::Attempt, keep: bool) {
         let Some(leaf) = self.hosts[host].busy.swap_remove(&attempt) else {
             return;
         };
-        if keep && self.leaves[leaf].up {
+        if keep && self.leaves[leaf].is_up {
             self.hosts[host].idle[leaf] += 1;
         } else {
             self.open[leaf] = self.open[leaf].saturating_sub(1);
@@ -316,7 +316,7 @@
             return;
         };
         self.release(host, attempt, false);
-        if self.leaves[leaf].forget(host, attempt) {
+        if self.leaves[leaf].remove(host, attempt) {
             self.begin_next(leaf);
         }
     }
@@ -326,20 +326,20 @@
             return;
         }
         self.report.arrivals += 1;
-        let row = &mut self.leaves[leaf];
-        if !row.up {
-            self.at(
+        let target = &mut self.leaves[leaf];
+        if !target.is_up {
+            self.schedule(
                 self.now + self.setup.size.link,
-                Happening::Reply(job.host, job.attempt, event::Reply::Lost(event::Loss::Broken)),
+                Event::Reply(job.host, job.attempt, event::Reply::Lost(event::Loss::Broken)),
             );
             return;
         }
-        if row.queue.len() >= fleet::QUEUE {
+        if target.queue.len() >= fleet::QUEUE_CAPACITY {
             let reply = event::Reply::Refused { retry_after: None };
-            self.at(self.now + self.setup.size.link, Happening::Reply(job.host, job.attempt, reply));
+            self.schedule(self.now + self.setup.size.link, Event::Reply(job.host, job.attempt, reply));
             return;
         }
-        row.queue.push_back(job);
+        target.queue.push_back(job);
         self.begin_next(leaf);
     }
 
@@ -351,37 +351,43 @@
             if job.deadline < self.now {
                 continue;
             }
-            let mean = (self.setup.size.service * self.leaves[leaf].slow) as f64;
+            let mean = (self.setup.size.service * self.leaves[leaf].slowdown) as f64;
             let sample = (-(1.0 - self.random.random::<f64>()).ln()).min(10.0);
             self.leaves[leaf].running.push(job);
-            self.at(self.now + (mean * sample) as Micros, Happening::Done(leaf, job));
+            self.schedule(self.now + (mean * sample) as Micros, Event::Done(leaf, job));
         }
     }
 
-    fn done(&mut self, leaf: usize, job: fleet::Job) {
-        if !self.leaves[leaf].forget(job.host, job.attempt) {
+    fn complete(&mut self, leaf: usize, job: fleet::Job) {
+        if !self.leaves[leaf].remove(job.host, job.attempt) {
             return;
         }
-        let row = &self.leaves[leaf];
-        let snapshot = row.snapshot(job.want);
-        let part = event::Part { snapshot, held: row.other(snapshot), hits: 1, load: Some(row.load()), queue: None };
+        let target = &self.leaves[leaf];
+        let snapshot = target.snapshot(job.want);
+        let part = event::Part {
+            snapshot,
+            held: target.other_snapshot(snapshot),
+            hits: 1,
+            load: Some(target.load()),
+            queue: None,
+        };
         self.snapshots.insert((job.host, job.attempt), snapshot);
         let reply = event::Reply::Answered(part);
-        self.at(self.now + self.setup.size.link, Happening::Reply(job.host, job.attempt, reply));
+        self.schedule(self.now + self.setup.size.link, Event::Reply(job.host, job.attempt, reply));
         self.begin_next(leaf);
     }
 
     fn answer(&mut self, host: usize, answer: &event::Answer) {
-        let asked = self.hosts[host].asked.swap_remove(&answer.caller).unwrap_or(self.now);
+        let arrived = self.hosts[host].arrivals.swap_remove(&answer.caller).unwrap_or(self.now);
         let shards = self.setup.size.shards;
         for (_, attempt) in &answer.contributed {
             let snapshot = self.snapshots.swap_remove(&(host, *attempt));
-            self.report.wrong += u64::from(snapshot != answer.snapshot);
+            self.report.snapshot_mismatches += u64::from(snapshot != answer.snapshot);
         }
-        if asked < self.setup.warm {
+        if arrived < self.setup.warm_up {
             return;
         }
         let coverage = answer.contributed.len() as f64 / shards as f64;
-        self.report.on_end(self.now, self.now - asked, answer.outcome, coverage);
+        self.report.record(self.now, self.now - arrived, answer.outcome, coverage);
     }
 }
--- a/tests/capacity_page.rs
+++ b/tests/capacity_page.rs
@@ -1,4 +1,4 @@
-//! `docs/CAPACITY.md` and the data files beside it say the same.
+//! Checks that the figures in `docs/CAPACITY.md` match the data files in `docs/data`.
 
 use std::{collections::BTreeMap, fs, path};
 
@@ -7,7 +7,7 @@
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Rows of a page's tables by their first cell.
+/// Returns the rows of all tables on a page, by their first cell.
 fn rows(page: &str) -> BTreeMap<&str, Vec<&str>> {
     let mut rows = BTreeMap::new();
     for line in page.lines() {
@@ -19,13 +19,13 @@
     rows
 }
 
-struct Data {
+struct Measurements {
     fits: BTreeMap<String, Vec<String>>,
     points: BTreeMap<(String, u32), f64>,
 }
 
-fn data() -> Data {
-    let mut data = Data { fits: BTreeMap::new(), points: BTreeMap::new() };
+fn data() -> Measurements {
+    let mut data = Measurements { fits: BTreeMap::new(), points: BTreeMap::new() };
     let text = read("docs/data/capacity.csv") + &read("docs/data/processes.csv");
     for line in text.lines() {
         let cells: Vec<&str> = line.split(',').collect();
@@ -44,15 +44,15 @@
     data
 }
 
-impl Data {
-    fn at(&self, name: &str, size: f64) -> f64 {
+impl Measurements {
+    fn fitted(&self, name: &str, size: f64) -> f64 {
         let number = |index: usize| self.fits[name][index].parse::<f64>().expect("a number");
         number(0) + number(1) * size
     }
 }
 
 #[test]
-fn the_slopes_on_the_page_are_those_of_the_data() {
+fn slopes_on_the_page_match_the_data() {
     let page = read("docs/CAPACITY.md");
     let rows = rows(&page);
     let data = data();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_processes_on_the_page_are_those_of_the_data() {
+fn process_figures_on_the_page_match_the_data() {
     let page = read("docs/CAPACITY.md");
     let rows = rows(&page);
     let data = data();
@@ -79,9 +79,9 @@
     }
 }
 
-/// Works the derived figures out again from the data by the formulas that the page gives.
+/// Recomputes the derived figures from the data with the formulas on the page.
 #[test]
-fn the_derived_figures_follow_from_the_data() {
+fn derived_figures_on_the_page_match_the_data() {
     let page = read("docs/CAPACITY.md");
     let rows = rows(&page);
     let data = data();
@@ -89,13 +89,13 @@
     let rate = (8000.0 + 2.0 * (150.0 + 11_000.0)) / 86_400.0;
     let idle = data.points[&("resident_kib_each_by_node".to_owned(), 64)] * 1024.0;
     let in_flight = queries / nodes * 0.24;
-    let control = data.at("control_bytes_by_leaf", leafs) + data.at("control_bytes_by_host", nodes);
-    let traffic = data.at("traffic_bytes_by_leaf", leafs);
-    let memory = control + traffic + data.at("query_bytes_by_query", in_flight) + idle;
-    let busy = rate * (data.at("change_us_by_leaf", leafs) + data.at("traffic_view_us_by_leaf", leafs)) / 1e4
+    let control = data.fitted("control_bytes_by_leaf", leafs) + data.fitted("control_bytes_by_host", nodes);
+    let traffic = data.fitted("traffic_bytes_by_leaf", leafs);
+    let memory = control + traffic + data.fitted("query_bytes_by_query", in_flight) + idle;
+    let busy = rate * (data.fitted("change_us_by_leaf", leafs) + data.fitted("traffic_view_us_by_leaf", leafs)) / 1e4
         + data.points[&("core_percent_each_by_node".to_owned(), 64)];
-    let steady = data.at("steady_bytes_s_by_host", nodes);
-    let part = data.at("part_bytes_by_leaf", 32.0);
+    let steady = data.fitted("steady_bytes_s_by_host", nodes);
+    let part = data.fitted("part_bytes_by_leaf", 32.0);
     let manifest = rate * (leafs / 32.0 + 78.0) * 45.0;
     let expected = [
         ("changes a second", format!("{rate:.3}")),
@@ -106,13 +106,13 @@
         ("steady bytes a second", format!("{steady:.0}")),
         (
             "inner node, parts of 240, bytes a second",
-            format!("{:.0}", steady + rate * 9.0 * data.at("change_bytes_by_leaf", leafs)),
+            format!("{:.0}", steady + rate * 9.0 * data.fitted("change_bytes_by_leaf", leafs)),
         ),
         ("inner node, parts of 32, bytes a second", format!("{:.0}", steady + rate * 9.0 * part)),
         ("watcher, manifest of parts of 32, bytes a second", format!("{manifest:.0}")),
         ("root, parts of 32, bytes a second", format!("{:.0}", steady + rate * 21.0 * part + manifest)),
-        ("time to start, s", format!("{:.2}", data.at("start_us_by_leaf", leafs) / 1e6)),
-        ("bytes to start, MB", format!("{:.2}", data.at("start_bytes_by_leaf", leafs) / 1e6)),
+        ("time to start, s", format!("{:.2}", data.fitted("start_us_by_leaf", leafs) / 1e6)),
+        ("bytes to start, MB", format!("{:.2}", data.fitted("start_bytes_by_leaf", leafs) / 1e6)),
         ("searches a second a leaf", format!("{:.0}", queries * 120.0 / leafs)),
         ("leaf connections a node, leafs accept 25", format!("{:.0}", leafs * 25.0 / nodes)),
     ];
@@ -121,29 +121,30 @@
     }
 }
 
-/// The users' bench plays one day at three sizes; the page shows what it measured, how that grows, and where it leads.
+/// The users' bench runs one day at three sizes; the page has its figures, their growth and an extrapolation.
 #[test]
-fn the_sweeps_on_the_page_are_those_of_the_data() {
+fn sweep_figures_on_the_page_match_the_data() {
     let page = read("docs/CAPACITY.md");
     let rows = rows(&page);
     let text = read("docs/data/sweep.csv");
     let mut figures: BTreeMap<String, BTreeMap<u32, (String, String)>> = BTreeMap::new();
     for line in text.lines().skip(1) {
-        let [deployment, figure, hosts, middle, most] = line.split(',').collect::<Vec<_>>()[..] else {
+        let [deployment, figure, hosts, median, maximum] = line.split(',').collect::<Vec<_>>()[..] else {
             panic!("{line}");
         };
         let row = figures.entry(format!("{deployment} {figure}")).or_default();
-        row.insert(hosts.parse().expect("hosts"), (middle.to_owned(), most.to_owned()));
+        row.insert(hosts.parse().expect("hosts"), (median.to_owned(), maximum.to_owned()));
     }
     assert!(figures.len() >= 10);
     for (name, points) in &figures {
-        let mut expected: Vec<String> = points.values().map(|(middle, most)| format!("{middle} / {most}")).collect();
-        let most = |hosts: u32| points[&hosts].1.parse::<f64>().expect("a number");
-        let (first, last) = (most(30), most(300));
+        let mut expected: Vec<String> =
+            points.values().map(|(median, maximum)| format!("{median} / {maximum}")).collect();
+        let maximum = |hosts: u32| points[&hosts].1.parse::<f64>().expect("a number");
+        let (first, last) = (maximum(30), maximum(300));
         if first > 0.0 && last > 0.0 {
-            let power = (last / first).log10();
-            expected.push(format!("{power:.2}"));
-            expected.push(format!("{:.0}", last * 26_f64.powf(power)));
+            let exponent = (last / first).log10();
+            expected.push(format!("{exponent:.2}"));
+            expected.push(format!("{:.0}", last * 26_f64.powf(exponent)));
         } else {
             expected.extend(["-".to_owned(), "-".to_owned()]);
         }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -6,12 +6,12 @@
 };
 use shallothub_standin::registry;
 
-use super::{LOOK, MOVED_MOST, client, served, started};
+use super::{POLL_INTERVAL, SEARCH_LIMIT, client, served_services, start};
 
 /// Guards against reusing a leaf's parsed entry after it restarts under a new id at its address during a store outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn leafs_restarted_at_their_addresses_are_used_under_their_new_names() {
-    let mut deployment = started("renamed", 2).await;
+async fn leafs_restarted_during_an_outage_are_used_under_their_new_ids() {
+    let mut deployment = start("renamed", 2).await;
     deployment.registry.set(registry::Mode::Away);
     let leafs = deployment.leafs.iter_mut().filter(|leaf| leaf.entry.service == "shard0");
     for (leaf, id) in leafs.zip(["i-new-0", "i-new-1"]) {
@@ -20,15 +20,15 @@
         leaf.entry.name = id.into();
         deployment.registry.register(&leaf.entry);
     }
-    tokio::time::sleep(LOOK * 10).await;
+    tokio::time::sleep(POLL_INTERVAL * 10).await;
     deployment.registry.set(registry::Mode::Proper);
     for node in 0..2 {
         let mut client = client(&deployment, node);
         let mut round = 0;
-        while served(&client.send(Kind::Gather, &format!("g{node}-{round}")).await) != 4 {
+        while served_services(&client.send(Kind::Gather, &format!("g{node}-{round}")).await) != 4 {
             round += 1;
-            assert!(round < MOVED_MOST, "node {node}: results still incomplete after {round} searches");
-            tokio::time::sleep(LOOK).await;
+            assert!(round < SEARCH_LIMIT, "node {node}: results still incomplete after {round} searches");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -36,44 +36,44 @@
 /// Guards against nodes that go back to the older configuration in a restored store, or that miss what is written after
 /// the restore, with real processes and the store's era header.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restored_store_takes_no_configuration_back() {
-    /// Rounds of searches after the restore, at least three seconds with the pause of [`LOOK`] after each, and the
+async fn restoring_the_store_does_not_roll_back_the_configuration() {
+    /// Rounds of searches after the restore, at least three seconds with the pause of [`POLL_INTERVAL`] after each, and the
     /// limit of searches per client until the third configuration is in force.
     const ROUNDS: u32 = 150;
-    let mut deployment = started("restored", 2).await;
+    let mut deployment = start("restored", 2).await;
     let mut clients: Vec<Client> = (0..2).map(|node| client(&deployment, node)).collect();
     let backup = deployment.registry.backup();
     deployment.configure(2, &deployment::shards(0, 3));
     for (node, client) in clients.iter_mut().enumerate() {
         let mut round = 0;
-        while served(&client.send(Kind::Gather, &format!("second-{node}-{round}")).await) != 3 {
+        while served_services(&client.send(Kind::Gather, &format!("second-{node}-{round}")).await) != 3 {
             round += 1;
-            assert!(round < MOVED_MOST, "the second configuration is not in force");
-            tokio::time::sleep(LOOK).await;
+            assert!(round < SEARCH_LIMIT, "the second configuration is not in force");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     deployment.registry.set(registry::Mode::Away);
-    tokio::time::sleep(LOOK * 10).await;
+    tokio::time::sleep(POLL_INTERVAL * 10).await;
     deployment.registry.restore(backup);
     deployment.registry.set(registry::Mode::Proper);
     for round in 0..ROUNDS {
         for (node, client) in clients.iter_mut().enumerate() {
-            let end = client.send(Kind::Gather, &format!("restored-{node}-{round}")).await;
-            assert_eq!(served(&end), 3, "node {node}, round {round}: {end:?}");
+            let outcome = client.send(Kind::Gather, &format!("restored-{node}-{round}")).await;
+            assert_eq!(served_services(&outcome), 3, "node {node}, round {round}: {outcome:?}");
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     deployment.configure(3, &deployment::shards(0, 2));
     for (node, client) in clients.iter_mut().enumerate() {
         let mut round = 0;
         loop {
-            let end = client.send(Kind::Gather, &format!("third-{node}-{round}")).await;
-            if served(&end) == 2 {
+            let outcome = client.send(Kind::Gather, &format!("third-{node}-{round}")).await;
+            if served_services(&outcome) == 2 {
                 break;
             }
             round += 1;
-            assert!(round < ROUNDS, "the third configuration is not in force: {end:?}");
-            tokio::time::sleep(LOOK).await;
+            assert!(round < ROUNDS, "the third configuration is not in force: {outcome:?}");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,18 +1,18 @@
-//! A short part of the fault soak, with fixed seeds. `scripts/soak-nodes` runs more.
+//! A short run of the fault soak with fixed seeds; `scripts/soak-nodes` runs more.
 
 use std::{path, time::Duration};
 
 use rstest::rstest;
 use shallothub_soak::{deployment::Size, run};
 
-/// Some seeds whose first faults are of many kinds, and each seed that once showed a breach.
+/// Seeds whose first faults are of many kinds, and every seed that once caused a breach.
 #[rstest]
-#[case::leafs_misbehave_and_hosts_die(3, false)]
-#[case::the_index_is_cut_anew_beside_a_bad_store(5, false)]
-// A kill in the first millisecond counted as none, so that the requests it cut seemed cut by nothing.
+#[case::leaf_faults_and_host_crashes(3, false)]
+#[case::resharding_with_store_faults(5, false)]
+// A kill in the first millisecond was not counted as one, so the requests that it aborted had no known cause.
 #[case::kill_at_once(115, false)]
 #[case::kill_all_at_once(210, false)]
-// The data centre of every second leaf is evacuated now and then, and leafs warm up.
+// The data centre of every second leaf is evacuated from time to time, and leafs warm up.
 #[case::evacuations(30_001, true)]
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_faults(#[case] seed: u64, #[case] has_two_data_centres: bool) {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet for tests over real processes: nodes as child processes, the platform and the leaves as
-//! stand-ins in this one. Every listener binds port 0; verdicts come from the stand-ins' ledgers.
+//! A fleet for tests over real processes: nodes run as child processes, stand-ins for the platform and the
+//! leaves run in this one. Every listener binds port 0; tests check the stand-ins' ledgers.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -18,7 +18,7 @@
 use shallothub_wire::caller;
 
 pub const SHARDS: u32 = 4;
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Node {
     pub name: CompactString,
@@ -32,16 +32,16 @@
     pub platform: Arc<platform::Platform>,
     platform_address: net::SocketAddr,
     pub leaves: Vec<(CompactString, Arc<leaf::Leaf>)>,
-    listed: Vec<plan::BackendServer>,
+    backend_servers: Vec<plan::BackendServer>,
     pub nodes: Vec<Node>,
     versions: [u64; 2],
-    /// Time that nodes started from now on serve after SIGTERM.
+    /// Time for which nodes that are started later keep serving after SIGTERM.
     pub balancer_lag_ms: u32,
     directory: std::path::PathBuf,
 }
 
 fn services() -> [publish::Service; 2] {
-    let row = |name, shards, replicas, connections, slots| publish::Service {
+    let service = |name, shards, replicas, connections, slots| publish::Service {
         name: CompactString::const_new(name),
         epoch: 1,
         shards,
@@ -49,7 +49,7 @@
         connections,
         slots,
     };
-    [row("guestfront", SHARDS, 2, 25, 2), row("hostdesk", 1, 3, 100, 6)]
+    [service("guestfront", SHARDS, 2, 25, 2), service("hostdesk", 1, 3, 100, 6)]
 }
 
 const SELECTORS: &str = "selectors:
@@ -58,11 +58,11 @@
   - {name: booking, service: hostdesk, reach: one, deadline_ms: 2000, least_coverage: 1.0, idempotent: false}
 ";
 
-/// What a caller got: the HTTP status and the answer, or why there was none.
-pub type Got = Result<(u16, Value), String>;
+/// The HTTP status and JSON body of an answer, or the error that prevented it.
+pub type Reply = Result<(u16, Value), String>;
 
 impl Fleet {
-    /// Leaves and platform, with `hosts` nodes that are ready.
+    /// Starts the platform, the leaves and `hosts` nodes, and waits until the nodes are ready.
     pub async fn start(test: &str, hosts: usize) -> Self {
         let directory = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
         std::fs::create_dir_all(&directory).expect("a directory for settings");
@@ -73,7 +73,7 @@
             platform,
             platform_address,
             leaves: Vec::new(),
-            listed: Vec::new(),
+            backend_servers: Vec::new(),
             nodes: Vec::new(),
             versions: [0; 2],
             balancer_lag_ms: 3000,
@@ -95,7 +95,7 @@
         fleet
     }
 
-    /// One node, and one service `wide` with a leaf for each of `shards` shards, which answer at once.
+    /// Starts one node and a service `wide` with one leaf for each of `shards` shards; the leaves add no latency.
     pub async fn start_wide(test: &str, shards: u32) -> Self {
         let mut fleet = Self::start(test, 0).await;
         let wide = publish::Service {
@@ -124,10 +124,10 @@
         fleet
     }
 
-    /// Addresses of the leaves whose name begins with `prefix`.
+    /// Returns the addresses of the leaves whose name starts with `prefix`.
     pub fn addresses(&self, prefix: &str) -> Vec<net::SocketAddr> {
-        let listed = self.listed.iter().filter(|listed| listed.name.starts_with(prefix));
-        listed.map(|listed| listed.address.parse().expect("an address")).collect()
+        let servers = self.backend_servers.iter().filter(|server| server.name.starts_with(prefix));
+        servers.map(|server| server.address.parse().expect("an address")).collect()
     }
 
     async fn start_leaf(&mut self, name: &CompactString, service: &publish::Service) {
@@ -140,10 +140,10 @@
             knobs: leaf::Knobs { jitter_ms: 0, ..leaf::Knobs::default() },
         };
         self.leaves.push((name.clone(), leaf::Leaf::start(&spec, listener)));
-        self.listed.push(publish::backend_server(name, "bkk-a", address));
+        self.backend_servers.push(publish::backend_server(name, "bkk-a", address));
     }
 
-    /// Starts one more node; it is ready once it is published and has a view.
+    /// Starts a node, which becomes ready once it is published and has a view.
     pub fn start_node(&mut self) -> usize {
         let index = self.nodes.len();
         let name = format_compact!("entry-{index}");
@@ -167,7 +167,7 @@
         let line: Value = serde_json::from_str(&line).expect("a JSON line");
         let address = |name: &str| line[name].as_str().expect("an address").parse().expect("an address");
         let node = Node { name, listen: address("listen"), peer: address("peer"), child, settings: path };
-        // Whoever does not read the output would stop the node once the pipe is full.
+        // Drains the output: the node would block once the pipe is full.
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 println!("{line}")
@@ -193,16 +193,16 @@
         self.versions[1] = version;
         let entry: Vec<plan::EntryHost> =
             self.nodes.iter().map(|node| publish::entry_host(&node.name, "bkk-a", node.peer)).collect();
-        let text = publish::hosts(&entry, &self.listed);
+        let text = publish::hosts(&entry, &self.backend_servers);
         let parts = [(CompactString::const_new("shallothub/hosts/main"), text)];
         self.platform.publish(catalog::Kind::Hosts, version, &parts);
     }
 
-    /// Marks a leaf as leaving and publishes it.
+    /// Marks a leaf as leaving and publishes the host list.
     pub fn mark_leaving(&mut self, name: &str) {
-        for listed in &mut self.listed {
-            if listed.name == name {
-                listed.state = plan::State::Leaving;
+        for server in &mut self.backend_servers {
+            if server.name == name {
+                server.state = plan::State::Leaving;
             }
         }
         self.publish_hosts();
@@ -211,11 +211,11 @@
     pub async fn wait_ready(&self, node: usize) {
         let address = self.nodes[node].listen;
         while !client::get(address, "/readyz").await.is_ok_and(|response| response.status() == 200) {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until `node` has the newest list of hosts and configuration in force.
+    /// Waits until the latest host list and configuration are in force on `node`.
     pub async fn wait_in_force(&self, node: usize) {
         loop {
             let status = self.status(node).await;
@@ -223,7 +223,7 @@
             if version("config") == Some(self.versions[0]) && version("hosts") == Some(self.versions[1]) {
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -248,7 +248,7 @@
         &self.leaves.iter().find(|(other, _)| other == name).expect("a leaf").1
     }
 
-    /// Executions of `key` over all leaves.
+    /// Returns how often a request with `key` ran, over all leaves.
     pub fn executions(&self, key: &str) -> u32 {
         self.leaves.iter().map(|(_, leaf)| leaf.ledger().keys.get(key).copied().unwrap_or(0)).sum()
     }
@@ -258,29 +258,29 @@
         assert!(status.is_ok_and(|status| status.success()), "kill {signal}");
     }
 
-    /// Waits for a node's end; its exit code.
-    pub async fn wait_end(&mut self, node: usize) -> Option<i32> {
+    /// Waits for a node to exit and returns its exit code, or `None` if a signal ended it.
+    pub async fn wait_exit(&mut self, node: usize) -> Option<i32> {
         loop {
             if let Ok(Some(status)) = self.nodes[node].child.try_wait() {
                 return status.code();
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Process id of a node.
+    /// Returns the process id of a node.
     pub fn pid(&self, node: usize) -> u32 {
         self.nodes[node].child.id()
     }
 
-    /// Asks on a new connection.
-    pub async fn ask(&self, node: usize, class: &str, key: Option<&str>) -> Got {
-        ask(self.nodes[node].listen, class, key).await
+    /// Sends a query to a node on a new connection.
+    pub async fn query(&self, node: usize, class: &str, key: Option<&str>) -> Reply {
+        query(self.nodes[node].listen, class, key).await
     }
 }
 
-/// Asks the node at `address` on a new connection.
-pub async fn ask(address: net::SocketAddr, class: &str, key: Option<&str>) -> Got {
+/// Sends a query to `address` on a new connection.
+pub async fn query(address: net::SocketAddr, class: &str, key: Option<&str>) -> Reply {
     let mut request = http::Request::post(format!("/query/{class}")).header("host", "test");
     if let Some(key) = key {
         request = request.header(caller::KEY, key);
@@ -292,8 +292,8 @@
     Ok((response.status().as_u16(), value))
 }
 
-/// Sends bytes as they are, and reads the status line until the other side closes or answers.
-pub async fn raw(address: net::SocketAddr, bytes: Vec<u8>) -> String {
+/// Sends `bytes` unchanged and returns the status line, or an empty string if the peer closes first.
+pub async fn send_raw(address: net::SocketAddr, bytes: Vec<u8>) -> String {
     let read = tokio::task::spawn_blocking(move || {
         let mut stream = net::TcpStream::connect(address).expect("a connection");
         stream.write_all(&bytes).expect("written");
