--- a/crates/core/tests/registry/fleet.rs
+++ b/crates/core/tests/registry/fleet.rs
@@ -437,7 +437,7 @@
                 let took = if self.store.is_unresponsive { PAGE_TIMEOUT } else { 4 };
                 self.schedule(self.now + took, Event::Input { host, incarnation, input });
             }
-            control::Output::Follow { ticket, after, wait, timeout: call_timeout } => {
+            control::Output::WatchRegistry { ticket, after, wait, timeout: call_timeout } => {
                 self.store.calls += 1;
                 self.watches.retain(|watch| watch.host != host);
                 let is_lost = self.hosts[host].is_partitioned || self.store.is_unresponsive;
@@ -445,7 +445,7 @@
                 self.watches.push(Watch { is_lost, host, incarnation, ticket, after, until });
                 self.answer_watches();
             }
-            control::Output::Send { to, packs, message } => self.send(host, &to, packs, message),
+            control::Output::Send { to, compress, message } => self.send(host, &to, compress, message),
             control::Output::Reconnect { to } => {
                 self.stalled.retain(|(from, other), _| *from != host || peer(*other) != to);
             }
